--- a/src/placer/adapters_test.go
+++ b/src/placer/adapters_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// TestAnAdapterThatJustCameDoesNotMakeWay: one that was waited for must not be
-// pushed out by the next at once, though it is asked for least.
-func TestAnAdapterThatJustCameDoesNotMakeWay(t *testing.T) {
+// TestRecentlyLoadedAdapterIsNotEvicted guards against evicting an adapter right after the load
+// that requests waited for, because it has the fewest requests.
+func TestRecentlyLoadedAdapterIsNotEvicted(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0"))
-	w.run(5 * time.Second)
-	f := w.replicas[0]
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
+	sim.run(5 * time.Second)
+	f := sim.fakes[0]
 	absent := ""
 	for n := 1; n <= 4; n++ {
 		name := "a" + strconv.Itoa(n)
@@ -23,10 +23,10 @@
 			absent = name
 			continue
 		}
-		w.ask("m0", name, 10, 0, 0)
+		sim.request("m0", name, 10, 0, 0)
 	}
-	w.ask("m0", absent, 1, 0, 1)
-	w.run(200 * time.Millisecond)
+	sim.request("m0", absent, 1, 0, 1)
+	sim.run(200 * time.Millisecond)
 	is.True(f.models["m0"][absent])
 	gone := ""
 	for n := 1; n <= 4; n++ {
@@ -34,34 +34,34 @@
 			gone = name
 		}
 	}
-	w.ask("m0", gone, 1, 0, 1)
-	w.run(200 * time.Millisecond)
-	is.True(f.models["m0"][absent]) // it stays
-	is.True(f.models["m0"][gone])   // another made way
+	sim.request("m0", gone, 1, 0, 1)
+	sim.run(200 * time.Millisecond)
+	is.True(f.models["m0"][absent]) // the recent one is kept
+	is.True(f.models["m0"][gone])   // another one was evicted
 }
 
-// TestAnAdapterThatIsAskedForMuchComesToMoreReplicas: while one replica holds it,
-// its requests have no choice; places that are free bring them one.
-func TestAnAdapterThatIsAskedForMuchComesToMoreReplicas(t *testing.T) {
+// TestBusyAdapterIsLoadedOnMoreReplicas checks that a busy adapter is loaded on further replicas
+// with free slots. On a single replica its requests cannot be balanced.
+func TestBusyAdapterIsLoadedOnMoreReplicas(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	e.AdapterSlots = 6
-	w := newWorld(e, newFakeReplica("a", e, "m0"), newFakeReplica("b", e, "m0"))
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"), newFakeReplica("b", e, "m0"))
 	e.Models = e.Models[:1]
-	w.run(4 * time.Second)
+	sim.run(4 * time.Second)
 	for range 20 {
-		w.ask("m0", "a1", 5, 0, 0)
-		w.ask("m0", "a2", 0, 0, 0)
-		w.run(500 * time.Millisecond)
+		sim.request("m0", "a1", 5, 0, 0)
+		sim.request("m0", "a2", 0, 0, 0)
+		sim.run(500 * time.Millisecond)
 	}
-	holders := map[string]int{}
-	for _, f := range w.replicas {
+	copyCounts := map[string]int{}
+	for _, f := range sim.fakes {
 		for adapter := range f.models["m0"] {
-			holders[adapter]++
+			copyCounts[adapter]++
 		}
-		is.True(len(f.models["m0"]) <= e.AdapterSlots-sparePlaces)
-		is.Equal(f.over, "")
+		is.True(len(f.models["m0"]) <= e.AdapterSlots-reservedAdapterSlots)
+		is.Equal(f.overcommitted, "")
 	}
-	is.Equal(holders["a1"], 2)
-	is.Equal(holders["a2"], 1) // nobody asks for it
+	is.Equal(copyCounts["a1"], 2)
+	is.Equal(copyCounts["a2"], 1) // not requested
 }
--- a/src/placer/bucket.go
+++ b/src/placer/bucket.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// The loads that may begin at once: some, and the loads of a part of a second.
+// The size of the bucket: a fixed number of loads, plus the loads allowed in a fraction of a
+// second.
 const (
 	burstLoads   = 2.0
 	burstSeconds = 0.25
 )
 
-// bucket bounds the loads from the weight store.
-type bucket struct {
-	burst  float64
-	tokens float64
-	at     time.Time
+// tokenBucket limits the rate of loads from the weight store.
+type tokenBucket struct {
+	burst      float64
+	tokens     float64
+	refilledAt time.Time
 }
 
-// newBucket returns a full one: a new holder begins after a lease in which nobody
-// ordered anything.
-func newBucket(rate float64) *bucket {
+// newTokenBucket returns a full bucket: a new holder starts after a lease in which no loads were
+// ordered.
+func newTokenBucket(rate float64) *tokenBucket {
 	burst := burstLoads + burstSeconds*rate
-	return &bucket{burst: burst, tokens: burst}
+	return &tokenBucket{burst: burst, tokens: burst}
 }
 
-// fill lets time pass at a rate a second.
-func (b *bucket) fill(now time.Time, rate float64) {
-	if !b.at.IsZero() {
-		b.tokens = min(b.tokens+now.Sub(b.at).Seconds()*rate, b.burst)
+// refill adds the tokens for the time since the last refill, at a rate per second.
+func (b *tokenBucket) refill(now time.Time, rate float64) {
+	if !b.refilledAt.IsZero() {
+		b.tokens = min(b.tokens+now.Sub(b.refilledAt).Seconds()*rate, b.burst)
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
-// whole returns how many loads may begin now.
-func (b *bucket) whole() int { return int(b.tokens) }
+// available returns the number of loads that may start now.
+func (b *tokenBucket) available() int { return int(b.tokens) }
 
-// take spends one load.
-func (b *bucket) take() { b.tokens-- }
+// take removes the token of one load.
+func (b *tokenBucket) take() { b.tokens-- }
--- a/src/placer/bucket_test.go
+++ b/src/placer/bucket_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLoadsKeepTheStoresBoundAcrossHolders: whatever a holder and, a lease later,
-// its successor take as soon as they may, no window of 5 s has more loads than
-// 1.1 times the rate and three.
+// TestLoadsKeepTheStoresBoundAcrossHolders checks that no window of 5 s has more loads than 1.1
+// times the rate plus three, also if a holder and, one lease later, its successor load as early as
+// they may.
 func TestLoadsKeepTheStoresBoundAcrossHolders(t *testing.T) {
 	const window, lease, step = 5 * time.Second, 3 * time.Second, 50 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -18,17 +18,17 @@
 		busy := time.Duration(rapid.IntRange(0, 12000).Draw(t, "busy ms")) * time.Millisecond
 		var loads []time.Time
 		hold := func(from time.Time, idle, busy time.Duration) time.Time {
-			b := newBucket(rate)
+			b := newTokenBucket(rate)
 			for at := from; at.Before(from.Add(idle + busy)); at = at.Add(step) {
-				b.fill(at, rate)
-				for at.Sub(from) >= idle && b.whole() > 0 {
+				b.refill(at, rate)
+				for at.Sub(from) >= idle && b.available() > 0 {
 					b.take()
 					loads = append(loads, at)
 				}
 			}
 			return from.Add(idle + busy)
 		}
-		end := hold(noon, idle, busy)
+		end := hold(startTime, idle, busy)
 		hold(end.Add(lease), 0, 12*time.Second)
 		for first := range loads {
 			count := 0
--- a/src/placer/coming.go
+++ b/src/placer/coming.go
@@ -8,18 +8,19 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// makingWay is how long room for a load takes that other copies make way for: their closing and
-// their unload.
-const makingWay = closeFor + 500*time.Millisecond
+// makeRoomTime is how long it takes to make room for a load: the drain and the unload of other
+// copies.
+const makeRoomTime = drainTime + 500*time.Millisecond
 
-// comingModel is a model without a copy, with after how long its first one is expected to serve.
+// comingModel is a model without a ready copy, and the time until its first copy is expected to be
+// ready.
 type comingModel struct {
 	modelKey
-	in time.Duration
+	readyIn time.Duration
 }
 
-// coming returns the models without a copy of which one is being loaded, so that requests that can
-// wait for it do; the lock is held.
+// coming returns the models without a ready copy of which one is being loaded or will be, so that
+// requests that can wait for it do. The lock is held.
 func (p *Placer) coming(now time.Time) []comingModel {
 	table := p.options.Table()
 	if table == nil {
@@ -27,27 +28,27 @@
 	}
 	serving := map[modelKey]bool{}
 	soonest := map[modelKey]time.Duration{}
-	for _, u := range p.units {
-		service := table.Service(u.record.Service)
-		if !u.usable || service == nil || service.Engine == nil {
+	for _, r := range p.replicas {
+		service := table.Service(r.record.Service)
+		if !r.usable || service == nil || service.Engine == nil {
 			continue
 		}
-		for name, c := range u.copies {
+		for name, c := range r.copies {
 			if c.phase == ready {
 				serving[modelKey{service.Name, name}] = true
 			}
 		}
-		if name, in := u.comes(now, service.Engine); name != "" {
+		if name, readyIn := r.expectedLoad(now, service.Engine); name != "" {
 			key := modelKey{service.Name, name}
-			if known, found := soonest[key]; !found || in < known {
-				soonest[key] = in
+			if known, found := soonest[key]; !found || readyIn < known {
+				soonest[key] = readyIn
 			}
 		}
 	}
 	var models []comingModel
-	for key, in := range soonest {
+	for key, readyIn := range soonest {
 		if !serving[key] {
-			models = append(models, comingModel{modelKey: key, in: in})
+			models = append(models, comingModel{modelKey: key, readyIn: readyIn})
 		}
 	}
 	slices.SortFunc(models, func(a, b comingModel) int {
@@ -56,23 +57,23 @@
 	return models
 }
 
-// comes returns the model that a replica loads or makes room for, "" if there is none, and after how
-// long it is expected to serve.
-func (u *unit) comes(now time.Time, e *catalog.Engine) (model string, in time.Duration) {
-	for name, c := range u.copies {
+// expectedLoad returns the model that a replica loads or makes room for, "" if there is none, and
+// the time until it is expected to be ready.
+func (r *replicaState) expectedLoad(now time.Time, e *catalog.Engine) (model string, readyIn time.Duration) {
+	for name, c := range r.copies {
 		if c.phase == loading {
-			took, _ := loadTime(e, u, name)
-			return name, max(c.since.Add(took).Sub(now), 0)
+			loadDuration, _ := loadTime(e, r, name)
+			return name, max(c.since.Add(loadDuration).Sub(now), 0)
 		}
 	}
-	if u.next == "" {
+	if r.pendingLoad == "" {
 		return "", 0
 	}
-	took, _ := loadTime(e, u, u.next)
-	return u.next, max(u.nextSince.Add(makingWay).Sub(now), 0) + took
+	loadDuration, _ := loadTime(e, r, r.pendingLoad)
+	return r.pendingLoad, max(r.pendingLoadSince.Add(makeRoomTime).Sub(now), 0) + loadDuration
 }
 
-func comingModels(models []comingModel) []modelKey {
+func comingKeys(models []comingModel) []modelKey {
 	keys := make([]modelKey, 0, len(models))
 	for _, m := range models {
 		keys = append(keys, m.modelKey)
--- a/src/placer/demand.go
+++ b/src/placer/demand.go
@@ -7,31 +7,31 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// demandHalf is after how long demand that has ended counts half.
-const demandHalf = 3 * time.Second
+// demandHalfLife is the half-life of the rates of demand.
+const demandHalfLife = 3 * time.Second
 
-// tokensPerSecond is how many prompt tokens an engine reads in a second; the
-// work of a request is counted in parts of a replica by it.
+// tokensPerSecond is the number of prompt tokens that an engine processes in a second. It
+// converts the prompt tokens of requests to work, as a fraction of a replica.
 const tokensPerSecond = 18000.0
 
-// rate is an average that forgets.
-type rate struct {
+// decayingRate is an exponentially decaying average of a rate.
+type decayingRate struct {
 	value float64
 	at    time.Time
 }
 
-// add counts an amount at a time.
-func (r *rate) add(now time.Time, amount float64) {
-	r.value = r.get(now) + amount*math.Ln2/demandHalf.Seconds()
+// add adds an amount at a time.
+func (r *decayingRate) add(now time.Time, amount float64) {
+	r.value = r.get(now) + amount*math.Ln2/demandHalfLife.Seconds()
 	r.at = now
 }
 
-// get returns the amount a second.
-func (r *rate) get(now time.Time) float64 {
+// get returns the rate per second.
+func (r *decayingRate) get(now time.Time) float64 {
 	if r.at.IsZero() {
 		return 0
 	}
-	return r.value * math.Exp2(-float64(now.Sub(r.at))/float64(demandHalf))
+	return r.value * math.Exp2(-float64(now.Sub(r.at))/float64(demandHalfLife))
 }
 
 type modelKey struct {
@@ -45,24 +45,25 @@
 	adapter string
 }
 
-// demand is what the gateways' requests ask for.
+// demand is what requests ask for, as reported by gateways.
 type demand struct {
-	tokens   map[modelKey]*rate
-	requests map[modelKey]*rate
-	adapters map[adapterKey]*rate
-	// missing are adapters and models that requests wait for, with when they last did.
+	tokens   map[modelKey]*decayingRate
+	requests map[modelKey]*decayingRate
+	adapters map[adapterKey]*decayingRate
+	// missing holds the models and adapters that requests waited for, with the time of the last
+	// report.
 	missing map[adapterKey]time.Time
-	// since is when the first request was told of, the zero time before.
-	since time.Time
+	// firstUsageAt is when the first usage was reported; zero before.
+	firstUsageAt time.Time
 }
 
 func newDemand() *demand {
-	return &demand{tokens: map[modelKey]*rate{}, requests: map[modelKey]*rate{}, adapters: map[adapterKey]*rate{}, missing: map[adapterKey]time.Time{}}
+	return &demand{tokens: map[modelKey]*decayingRate{}, requests: map[modelKey]*decayingRate{}, adapters: map[adapterKey]*decayingRate{}, missing: map[adapterKey]time.Time{}}
 }
 
-func (d *demand) take(now time.Time, usage wire.Usage) {
-	if d.since.IsZero() {
-		d.since = now
+func (d *demand) record(now time.Time, usage wire.Usage) {
+	if d.firstUsageAt.IsZero() {
+		d.firstUsageAt = now
 	}
 	for _, asked := range usage.Models {
 		model := modelKey{asked.Service, asked.Model}
@@ -78,17 +79,17 @@
 	}
 }
 
-func add[K comparable](rates map[K]*rate, key K, now time.Time, amount float64) {
+func add[K comparable](rates map[K]*decayingRate, key K, now time.Time, amount float64) {
 	known := rates[key]
 	if known == nil {
-		known = &rate{}
+		known = &decayingRate{}
 		rates[key] = known
 	}
 	known.add(now, amount)
 }
 
-// share returns a model's work as a part of one replica.
-func (d *demand) share(now time.Time, service, model string) float64 {
+// workOf returns the work of a model as a fraction of a replica.
+func (d *demand) workOf(now time.Time, service, model string) float64 {
 	known := d.tokens[modelKey{service, model}]
 	if known == nil {
 		return 0
@@ -96,9 +97,9 @@
 	return known.get(now) / tokensPerSecond
 }
 
-// idleFor returns for how long no request has asked for a model, as far as is known here.
+// idleFor returns how long no request for a model has been reported.
 func (d *demand) idleFor(now time.Time, model modelKey) time.Duration {
-	asked := d.since
+	asked := d.firstUsageAt
 	if known := d.requests[model]; known != nil {
 		asked = known.at
 	}
@@ -108,8 +109,8 @@
 	return now.Sub(asked)
 }
 
-// known reports whether any request for a service's models was ever told of.
-func (d *demand) known(service string) bool {
+// hasUsage reports whether any request for a model of a service has been reported.
+func (d *demand) hasUsage(service string) bool {
 	for key := range d.tokens {
 		if key.service == service {
 			return true
@@ -127,8 +128,8 @@
 	return known.get(now)
 }
 
-// missingLately returns the copies that requests waited for within a span.
-func (d *demand) missingLately(now time.Time, span time.Duration) []adapterKey {
+// recentlyMissing returns the models and adapters that requests waited for within a span.
+func (d *demand) recentlyMissing(now time.Time, span time.Duration) []adapterKey {
 	var keys []adapterKey
 	for key, at := range d.missing {
 		if now.Sub(at) > span {
--- a/src/placer/doc.go
+++ b/src/placer/doc.go
@@ -1,12 +1,12 @@
-// Package placer decides which models and adapters the replicas of an engine
-// hold, and orders it. It runs on the leading control node alone.
+// Package placer decides which models and adapters each replica of an engine holds, and sends
+// the replicas the load and unload orders for it. It runs on the leading control node only.
 //
-//	registrations, demand ──▶ Placer ──▶ place.Plan ──▶ orders, one at a time a replica
-//	                             │                          │
-//	        holdings to gateways ◀──── ledger of each replica ◀─ answers, reports
+//	registrations, demand ──▶ Placer ──▶ rebalance.Plan ──▶ orders, one at a time per replica
+//	                             │                               │
+//	         holdings to gateways ◀──── ledger of each replica ◀─ answers, reports
 //
-// Every order names the count of orders that the replica is believed to have
-// taken, so that one that is carried out late, after a newer one, is void. What
-// an unanswered order may have loaded counts as loaded until a report says
-// otherwise, so that a replica's memory is never overcommitted.
+// Every order carries the number of orders that the replica is believed to have accepted, so
+// that a replica rejects an order that reaches it late, after a newer one. Whatever an unanswered
+// order may have loaded counts as loaded until a report shows otherwise, so that the memory of a
+// replica is never overcommitted.
 package placer
--- a/src/placer/ledger.go
+++ b/src/placer/ledger.go
@@ -7,22 +7,22 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// phase is where a copy of a model or adapter stands.
+// phase is the stage of a copy of a model or adapter.
 type phase uint8
 
-// The phases. A copy takes room in all of them.
+// The phases. A copy takes memory in each of them.
 const (
-	// loading copies were ordered, or may have been.
+	// loading copies were ordered or may have been.
 	loading phase = iota
-	// ready copies serve.
+	// ready copies serve requests.
 	ready
-	// closing copies get no new requests; their unload will be ordered.
-	closing
-	// unloading copies were ordered to go.
+	// draining copies get no new requests; their unload will be ordered.
+	draining
+	// unloading copies were ordered to be unloaded.
 	unloading
 )
 
-// copyState is a model on a replica.
+// copyState is a copy of a model on a replica.
 type copyState struct {
 	phase phase
 	since time.Time
@@ -31,168 +31,172 @@
 	adapters map[string]*adapterState
 }
 
-// adapterState is an adapter on a replica.
+// adapterState is an adapter of a model on a replica.
 type adapterState struct {
 	phase phase
 	since time.Time
-	// readyAt is when a loading adapter is expected to serve.
+	// readyAt is when a loading adapter is expected to be ready.
 	readyAt time.Time
 	usedAt  time.Time
 }
 
-// unit is the ledger of one replica.
-type unit struct {
+// replicaState is the ledger of one replica: what it holds, and the orders under way.
+type replicaState struct {
 	record registry.Record
-	// listed is set while control nodes list the replica as there; usable is set if in addition
-	// nothing else keeps orders and copies from it.
-	listed   bool
-	usable   bool
-	sequence uint64
-	// known is set once a report told the count of orders taken.
-	known bool
-	// doubt is set after an order that got no clear answer.
-	doubt bool
-	// busy is set while the replica carries out an order of an earlier holder,
-	// which the ledger knows nothing of: it may take all the room there is.
-	busy    bool
-	askedAt time.Time
-	// quietUntil is until when the replica wants no calls from this node, quiet whether that time
-	// runs; leaving is set once it said in an answer that it leaves, which is never taken back.
-	quietUntil time.Time
-	quiet      bool
-	leaving    bool
-	// limit is how many requests a second the replica takes since limitedSince, while limited is set;
-	// short is set while its copies count for nothing because of it.
-	limit        float64
-	limited      bool
-	limitedSince time.Time
-	short        bool
-	// sending is set while an order or a question is under way.
-	sending bool
-	copies  map[string]*copyState
-	// next is the model that copies make way for here, "" if none.
-	next      string
-	nextSince time.Time
-	// beat is the sequence of the registration that the ledger agrees with.
-	beat uint64
+	// listed is set while the registry lists the replica as usable. usable is set if in addition
+	// the replica is not leaving and its zone is not drained.
+	listed bool
+	usable bool
+	// orderCount is the number of orders that the replica is believed to have accepted.
+	orderCount uint64
+	// orderCountKnown is set once a report has told that number.
+	orderCountKnown bool
+	// outcomeUnknown is set after an order without a clear answer, until the next report.
+	outcomeUnknown bool
+	// runsUnknownOrder is set while the replica executes an order of an earlier holder, which is
+	// not in this ledger and may take all the free memory.
+	runsUnknownOrder  bool
+	reportRequestedAt time.Time
+	// backoffUntil is the time until which the replica asked for no calls from this node;
+	// backingOff is set until then. leaving is set for good once an answer said that the replica is
+	// leaving.
+	backoffUntil time.Time
+	backingOff   bool
+	leaving      bool
+	// rateLimit is the number of requests a second that the replica accepts, since limitedSince,
+	// while limited is set. underCapacity is set while its copies are ignored because the limit is
+	// below the demand.
+	rateLimit     float64
+	limited       bool
+	limitedSince  time.Time
+	underCapacity bool
+	// callInFlight is set while an order or a report request is under way.
+	callInFlight bool
+	copies       map[string]*copyState
+	// pendingLoad is the model that room is being made for on the replica, "" if there is none.
+	pendingLoad      string
+	pendingLoadSince time.Time
+	// recordSequence is the sequence number of the last registration applied to the ledger.
+	recordSequence uint64
 }
 
-func newUnit(record registry.Record) *unit {
-	return &unit{record: record, copies: map[string]*copyState{}}
+func newReplicaState(record registry.Record) *replicaState {
+	return &replicaState{record: record, copies: map[string]*copyState{}}
 }
 
-// hear takes in what an answer says of whether the replica takes calls from this node. Copies on
-// one that leaves count as gone, so that others come in time.
-func (u *unit) hear(now time.Time, word Word) {
-	if until := now.Add(min(word.Backoff, longestQuiet)); word.Backoff > 0 && until.After(u.quietUntil) {
-		u.quietUntil = until
+// updateAvailability records whether the replica accepts calls from this node. Copies on a replica
+// that is leaving count as gone, so that others are loaded in time.
+func (r *replicaState) updateAvailability(now time.Time, availability Word) {
+	if until := now.Add(min(availability.Backoff, maxBackoff)); availability.Backoff > 0 && until.After(r.backoffUntil) {
+		r.backoffUntil = until
 	}
-	u.quiet = now.Before(u.quietUntil)
-	u.leaving = u.leaving || word.Leaving
-	u.usable = u.usable && !u.leaving
+	r.backingOff = now.Before(r.backoffUntil)
+	r.leaving = r.leaving || availability.Leaving
+	r.usable = r.usable && !r.leaving
 }
 
-// longestQuiet bounds the time for which a replica is sent no orders by its word: a value that was
-// meant in another unit must not take it away for good.
-const longestQuiet = time.Hour
+// maxBackoff bounds the backoff that a replica may ask for, so that a value sent in the wrong unit
+// does not exclude it for good.
+const maxBackoff = time.Hour
 
 const (
-	// settleTime is how long what was ordered to go may still be mentioned.
-	settleTime = 3 * time.Second
-	// vanishTime is how long what is held may go unmentioned by heartbeats, which can
-	// be seconds old when they come: its room would be given away while it is taken.
-	vanishTime = 6 * time.Second
+	// orderSettleTime is how long after an order heartbeats may still show the state before it.
+	orderSettleTime = 3 * time.Second
+	// absenceGracePeriod is how long a copy may be absent from heartbeats before it counts as gone.
+	// Heartbeats can arrive seconds late, and the memory of a copy must not be reused while the
+	// copy is there.
+	absenceGracePeriod = 6 * time.Second
 )
 
-// reconcile brings the ledger up to date with what the replica says it holds.
-// Copies that were ordered lately stay though it does not mention them yet.
-func (u *unit) reconcile(now time.Time, models []registry.Held, report bool) {
-	mentioned := map[string]bool{}
+// reconcile updates the ledger with the copies that the replica lists. Copies that were ordered
+// recently stay in the ledger even if the replica does not list them yet.
+func (r *replicaState) reconcile(now time.Time, models []registry.Held, fromReport bool) {
+	reported := map[string]bool{}
 	for _, held := range models {
-		mentioned[held.Name] = true
-		c := u.copies[held.Name]
+		reported[held.Name] = true
+		c := r.copies[held.Name]
 		if c == nil {
 			c = &copyState{phase: ready, since: now, readyAt: now, adapters: map[string]*adapterState{}}
-			u.copies[held.Name] = c
+			r.copies[held.Name] = c
 		}
-		if c.phase == loading || c.phase == unloading && (report || now.Sub(c.since) > settleTime) {
+		if c.phase == loading || c.phase == unloading && (fromReport || now.Sub(c.since) > orderSettleTime) {
 			c.phase, c.since, c.readyAt = ready, now, now
 		}
-		c.reconcileAdapters(now, held.Adapters, report)
+		c.reconcileAdapters(now, held.Adapters, fromReport)
 	}
-	for name, c := range u.copies {
-		if mentioned[name] {
+	for name, c := range r.copies {
+		if reported[name] {
 			continue
 		}
-		if report || c.gone(now) {
-			delete(u.copies, name)
+		if fromReport || c.absentTooLong(now) {
+			delete(r.copies, name)
 		}
 	}
 }
 
-// gone reports whether a heartbeat that leaves the copy out says that it is gone. One
-// that serves for a short while only may be missing from a heartbeat that is older.
-func (c *copyState) gone(now time.Time) bool {
+// absentTooLong reports whether a copy that is absent from a heartbeat counts as gone. A copy that
+// became ready recently may be absent from an older heartbeat.
+func (c *copyState) absentTooLong(now time.Time) bool {
 	switch c.phase {
 	case loading:
 		return false
 	case unloading:
-		return now.Sub(c.readyAt) > vanishTime
+		return now.Sub(c.readyAt) > absenceGracePeriod
 	}
-	return now.Sub(c.since) > vanishTime
+	return now.Sub(c.since) > absenceGracePeriod
 }
 
-func (c *copyState) reconcileAdapters(now time.Time, names []string, report bool) {
-	mentioned := map[string]bool{}
+func (c *copyState) reconcileAdapters(now time.Time, names []string, fromReport bool) {
+	reported := map[string]bool{}
 	for _, name := range names {
-		mentioned[name] = true
+		reported[name] = true
 		a := c.adapters[name]
 		switch {
 		case a == nil:
 			c.adapters[name] = &adapterState{phase: ready, since: now, usedAt: now}
 		case a.phase == loading:
 			a.phase, a.since = ready, now
-		case a.phase == unloading && (report || now.Sub(a.since) > settleTime):
+		case a.phase == unloading && (fromReport || now.Sub(a.since) > orderSettleTime):
 			a.phase, a.since = ready, now
 		}
 	}
 	for name, a := range c.adapters {
-		if mentioned[name] {
+		if reported[name] {
 			continue
 		}
-		if report || now.Sub(a.since) > a.patience() {
+		if fromReport || now.Sub(a.since) > a.gracePeriod() {
 			delete(c.adapters, name)
 		}
 	}
 }
 
-// patience is how long heartbeats may leave the adapter out: one that was ordered to
-// go has gone by then.
-func (a *adapterState) patience() time.Duration {
+// gracePeriod is how long the adapter may be absent from heartbeats before it counts as gone. An
+// adapter that was ordered to be unloaded is gone after a shorter time.
+func (a *adapterState) gracePeriod() time.Duration {
 	if a.phase == unloading {
-		return settleTime
+		return orderSettleTime
 	}
-	return vanishTime
+	return absenceGracePeriod
 }
 
-// takeReport replaces doubt by what the replica says now.
-func (u *unit) takeReport(now time.Time, report Report) {
-	u.sequence = report.Sequence
-	u.known = true
-	u.doubt = false
-	u.busy = report.Busy && !u.moving()
-	u.reconcile(now, report.Models, !report.Busy)
+// applyReport replaces an unknown state by the reported one.
+func (r *replicaState) applyReport(now time.Time, report Report) {
+	r.orderCount = report.Sequence
+	r.orderCountKnown = true
+	r.outcomeUnknown = false
+	r.runsUnknownOrder = report.Busy && !r.modelOrderRunning()
+	r.reconcile(now, report.Models, !report.Busy)
 	for _, pending := range report.Pending {
-		if c := u.copies[pending.Model]; c != nil && c.adapters[pending.Adapter] == nil {
-			c.adapters[pending.Adapter] = &adapterState{phase: loading, since: now, readyAt: now.Add(adapterLong), usedAt: now}
+		if c := r.copies[pending.Model]; c != nil && c.adapters[pending.Adapter] == nil {
+			c.adapters[pending.Adapter] = &adapterState{phase: loading, since: now, readyAt: now.Add(adapterLoadDefault), usedAt: now}
 		}
 	}
 }
 
-// usedMB is the room that everything on the replica takes, in megabytes.
-func (u *unit) usedMB(e *catalog.Engine) float64 {
+// usedMB is the memory that all copies on the replica take, in megabytes.
+func (r *replicaState) usedMB(e *catalog.Engine) float64 {
 	used := 0.0
-	for name, c := range u.copies {
+	for name, c := range r.copies {
 		model := e.Model(name)
 		if model == nil {
 			continue
@@ -202,19 +206,19 @@
 	return used
 }
 
-// adapterCount is the number of adapter places taken.
-func (u *unit) adapterCount() int {
+// adapterCount is the number of adapter slots in use.
+func (r *replicaState) adapterCount() int {
 	count := 0
-	for _, c := range u.copies {
+	for _, c := range r.copies {
 		count += len(c.adapters)
 	}
 	return count
 }
 
-// inTransit is the number of adapters on their way.
-func (u *unit) inTransit() int {
+// loadingAdapters is the number of adapters being loaded.
+func (r *replicaState) loadingAdapters() int {
 	count := 0
-	for _, c := range u.copies {
+	for _, c := range r.copies {
 		for _, a := range c.adapters {
 			if a.phase == loading {
 				count++
@@ -224,9 +228,9 @@
 	return count
 }
 
-// moving reports whether a model is being loaded or unloaded.
-func (u *unit) moving() bool {
-	for _, c := range u.copies {
+// modelOrderRunning reports whether a model is being loaded or unloaded.
+func (r *replicaState) modelOrderRunning() bool {
+	for _, c := range r.copies {
 		if c.phase == loading || c.phase == unloading {
 			return true
 		}
--- a/src/placer/limited.go
+++ b/src/placer/limited.go
@@ -6,56 +6,58 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// limitedFor is for how long a replica has to take less than is asked of it before its copies count
-// for nothing: a load from the store takes longer than most limits last.
-const limitedFor = 3 * time.Second
+// limitGracePeriod is how long the rate limit of a replica has to be below the demand before its
+// copies are ignored. A load from the store takes longer than most limits last.
+const limitGracePeriod = 3 * time.Second
 
-// SetLimits takes in how many requests a second the replicas that name a limit take.
+// SetLimits sets the rate limits of replicas in requests a second; replicas that are not in limits
+// have none.
 func (p *Placer) SetLimits(limits map[string]float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
-	for id, u := range p.units {
+	for id, r := range p.replicas {
 		perSecond, limited := limits[id]
-		if limited && !u.limited {
-			u.limitedSince = now
+		if limited && !r.limited {
+			r.limitedSince = now
 		}
-		u.limited, u.limit = limited, perSecond
+		r.limited, r.rateLimit = limited, perSecond
 	}
 }
 
-// weighLimits decides whose copies count for nothing, as if they were lost: those of replicas that have
-// taken less than is asked of them for long. Where most replicas of a service are limited there is no
-// better place, and all count. The lock is held.
-func (p *Placer) weighLimits(now time.Time, s *catalog.Service, units []*unit) {
-	holders := map[string]int{}
+// updateUnderCapacity determines the replicas whose copies are ignored, as if they were lost: those
+// whose rate limit has been below their demand for the grace period. If more than half of the
+// replicas of a service are limited, other replicas are no better and all copies count. The lock is
+// held.
+func (p *Placer) updateUnderCapacity(now time.Time, s *catalog.Service, replicas []*replicaState) {
+	copyCounts := map[string]int{}
 	limited := 0
-	for _, u := range units {
-		for name, c := range u.copies {
-			if u.usable && c.phase == ready {
-				holders[name]++
+	for _, r := range replicas {
+		for name, c := range r.copies {
+			if r.usable && c.phase == ready {
+				copyCounts[name]++
 			}
 		}
-		if u.usable && u.limited {
+		if r.usable && r.limited {
 			limited++
 		}
 	}
-	for _, u := range units {
-		u.short = u.limited && limited*2 <= len(units) && now.Sub(u.limitedSince) >= limitedFor && u.limit < p.askedOf(now, s, u, holders)
+	for _, r := range replicas {
+		r.underCapacity = r.limited && limited*2 <= len(replicas) && now.Sub(r.limitedSince) >= limitGracePeriod && r.rateLimit < p.requestRate(now, s, r, copyCounts)
 	}
 }
 
-// askedOf returns how many requests a second a replica gets if those for each of its models are spread
-// evenly over the copies.
-func (p *Placer) askedOf(now time.Time, s *catalog.Service, u *unit, holders map[string]int) float64 {
-	asked := 0.0
-	for name, c := range u.copies {
+// requestRate returns the number of requests a second for a replica if those for each of its models
+// are spread evenly over the model's copies.
+func (p *Placer) requestRate(now time.Time, s *catalog.Service, r *replicaState, copyCounts map[string]int) float64 {
+	rate := 0.0
+	for name, c := range r.copies {
 		if known := p.demand.requests[modelKey{s.Name, name}]; known != nil && c.phase == ready {
-			asked += known.get(now) / float64(max(holders[name], 1))
+			rate += known.get(now) / float64(max(copyCounts[name], 1))
 		}
 	}
-	return asked
+	return rate
 }
 
-// counts reports whether a replica's copies count and others may be placed there.
-func (u *unit) counts() bool { return u.usable && !u.short }
+// countsAsPlace reports whether the copies on a replica count and others may be placed on it.
+func (r *replicaState) countsAsPlace() bool { return r.usable && !r.underCapacity }
--- a/src/placer/order.go
+++ b/src/placer/order.go
@@ -7,7 +7,7 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// Operation is what an order asks for.
+// Operation is the kind of an order.
 type Operation string
 
 // The operations.
@@ -16,65 +16,68 @@
 	Unload Operation = "unload"
 )
 
-// Order asks a replica to load or unload a model, or an adapter of one it holds.
+// Order asks a replica to load or unload a model, or an adapter of a model that it holds.
 type Order struct {
-	// Replica is the ID of the start that the order is for, Name what the replica calls itself.
+	// Replica is the ID of one start of a replica, Name the replica's name, which stays the same
+	// across restarts.
 	Replica   string
 	Name      string
 	Address   string
 	Operation Operation
 	Model     string
 	Adapter   string
-	// Holder and Token fence the order: replicas refuse lower tokens than they have seen.
+	// Holder and Token fence the order: a replica rejects a token below the highest that it has
+	// seen.
 	Holder string
 	Token  uint64
-	// Expected is the number of orders that the replica is believed to have taken.
+	// Expected is the number of orders that the replica is believed to have accepted.
 	Expected uint64
 }
 
-// Result is what became of an order.
+// Result is the outcome of an order.
 type Result string
 
 // The results.
 const (
-	// Taken means that the replica carries it out.
+	// Taken means that the replica accepted the order and executes it.
 	Taken Result = "taken"
-	// Already means that nothing was to be done.
+	// Already means that the replica had nothing to do.
 	Already Result = "already"
-	// Refused means that another order is under way or the expected count is wrong.
+	// Refused means that another order is being executed or the expected count is wrong.
 	Refused Result = "refused"
 	// Fenced means that the replica has seen a higher token.
 	Fenced Result = "fenced"
-	// Elsewhere means that the replica is gone from the address.
+	// Elsewhere means that the replica is no longer at the address.
 	Elsewhere Result = "elsewhere"
-	// Invalid means that the replica could make nothing of the order.
+	// Invalid means that the replica could not interpret the order.
 	Invalid Result = "invalid"
-	// Lost means that no answer came: it may have been taken or may be yet.
+	// Lost means that no answer arrived; the replica may have executed the order or may still do
+	// so.
 	Lost Result = "lost"
 )
 
-// Report is what a replica says when asked.
+// Report is a replica's answer to a report request.
 type Report struct {
-	// Born is the Unix millisecond of the start that said it; 0 if it does not say.
+	// Born is the start time of the replica in Unix milliseconds; 0 if it is not given.
 	Born     int64
 	Sequence uint64
 	Busy     bool
 	Models   []registry.Held
-	// Pending are the adapters on their way, as model and adapter.
+	// Pending are the adapters being loaded.
 	Pending []AdapterName
 	Word    Word
 }
 
-// Word is what an answer says of whether its replica takes calls from this node.
+// Word is what an answer says about further calls from this node to the replica.
 type Word struct {
-	// Backoff is how long it wants no more calls, 0 if it did not ask for that.
+	// Backoff is how long the replica wants no more calls; 0 if it did not ask for a backoff.
 	Backoff time.Duration
-	// Leaving means that it leaves.
+	// Leaving means that the replica is leaving.
 	Leaving bool
 }
 
-// of reports whether the report is of the start that a record is of: the next start under the same
-// name answers at the same address.
+// of reports whether the report comes from the same start of the replica as a record. The next
+// start under the same name answers at the same address.
 func (r *Report) of(record *registry.Record) bool {
 	return r.Born == 0 || record.Born == 0 || r.Born == record.Born
 }
@@ -85,10 +88,10 @@
 	Adapter string
 }
 
-// Calls are the calls to replicas.
+// Calls are the calls that a placer makes to replicas.
 type Calls struct {
-	// Order sends an order; it returns what became of it and what the answer says of the replica.
+	// Order sends an order and returns its result, and what the answer says about further calls.
 	Order func(ctx context.Context, order Order) (Result, Word)
-	// Report asks a replica what it holds; the report's Word is told beside an error too.
+	// Report requests a report. The Word of the returned report is valid beside an error too.
 	Report func(ctx context.Context, replica, address string) (Report, error)
 }
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -15,171 +15,178 @@
 
 // The placer's times.
 const (
-	// planEvery is how often models are planned.
-	planEvery = 250 * time.Millisecond
-	// stepPause joins what wakes the placer: each answer to an order and each replica's
-	// word does, hundreds of times a second at 240 replicas, and a step costs 1 ms there
+	// planInterval is the time between two plans of the models.
+	planInterval = 250 * time.Millisecond
+	// minStepPause batches wake-ups: each answer to an order and each heartbeat of a replica wakes
+	// the placer, hundreds of times a second at 240 replicas, where a step takes 1 ms
 	// (BenchmarkStepAtSizes).
-	stepPause = 20 * time.Millisecond
-	// pausesPerStep is how many times a step's own time the pause after it lasts, at the
-	// least: a step looks at all replicas, 20 ms at 3,000 of them (BenchmarkStepAtSizes), and
-	// with 20 ms between steps it took most of a control node of half a core, for which
-	// consensus waited. With this a leader spends at most a fifth of its processor on steps.
-	pausesPerStep = 4
-	// longestStepPause bounds that pause: a copy that requests wait for is not put off for
-	// longer by the size of the installation.
-	longestStepPause = 200 * time.Millisecond
-	// orderTimeout bounds the wait for a replica's answer.
-	orderTimeout = 600 * time.Millisecond
-	// askAgain is the pause between two questions to a replica in doubt: a
-	// report tells how things stood some hundred milliseconds before.
-	askAgain = 700 * time.Millisecond
-	// closeFor is how long gateways have to stop sending before an unload.
-	closeFor = 500 * time.Millisecond
-	// adapterShort and adapterPerMB estimate how long an adapter's load takes.
-	adapterShort = 8 * time.Millisecond
-	adapterPerMB = 300 * time.Microsecond
-	// adapterLong is for adapters whose load began at an unknown time.
-	adapterLong = 100 * time.Millisecond
-	// gatherPause is how long no new replica must have come before the first plan.
-	gatherPause = 1300 * time.Millisecond
-	// missingSpan is how long a copy that requests waited for counts as missing.
-	missingSpan = 2 * time.Second
-	// maxTransit is how many adapters may be on their way to a replica.
-	maxTransit = 4
+	minStepPause = 20 * time.Millisecond
+	// stepPauseFactor is the least ratio of the pause after a step to the duration of the step,
+	// which bounds steps to a fifth of the leader's CPU time. A step visits all replicas and takes
+	// 20 ms at 3,000 of them (BenchmarkStepAtSizes); with pauses of 20 ms, steps used most of the
+	// half core of a control node and delayed consensus.
+	stepPauseFactor = 4
+	// maxStepPause bounds that pause, so that a large installation does not delay a copy that
+	// requests wait for.
+	maxStepPause = 200 * time.Millisecond
+	// callTimeout bounds one call to a replica.
+	callTimeout = 600 * time.Millisecond
+	// reportInterval is the time between two requests for a report of a replica in an unknown
+	// state. A report describes the state some hundred milliseconds ago.
+	reportInterval = 700 * time.Millisecond
+	// drainTime is how long gateways have to stop sending requests to a copy before its unload is
+	// ordered.
+	drainTime = 500 * time.Millisecond
+	// adapterLoadBase and adapterLoadPerMB estimate the load time of an adapter.
+	adapterLoadBase  = 8 * time.Millisecond
+	adapterLoadPerMB = 300 * time.Microsecond
+	// adapterLoadDefault is the load time assumed for an adapter whose load began at an unknown
+	// time.
+	adapterLoadDefault = 100 * time.Millisecond
+	// registrationQuietPeriod is how long no new replica must have registered before the first
+	// plan.
+	registrationQuietPeriod = 1300 * time.Millisecond
+	// missingWindow is how long a model or adapter counts as missing after a request waited for it.
+	missingWindow = 2 * time.Second
+	// maxLoadingAdapters is the number of adapters that may be loading on one replica.
+	maxLoadingAdapters = 4
 )
 
-// Leading tells whether this node may order.
+// Leading describes the leadership of this node.
 type Leading struct {
-	// Self is set while this node leads under a valid lease.
+	// Self is true while this node leads and its lease is valid.
 	Self bool
-	// Token is the term: no other holder has the same.
+	// Token is the term of the leadership, which is unique to one holder.
 	Token uint64
-	// Since is when this node began to lead.
+	// Since is when this node became the leader.
 	Since time.Time
 }
 
-// Options are what a placer needs.
+// Options configure a placer.
 type Options struct {
 	Holder string
 	Calls  Calls
-	// Leading is asked right before each order.
+	// Leading returns the current leadership; it is called right before each order.
 	Leading func() Leading
-	// Table returns the configuration in force here, nil if there is none.
+	// Table returns the configuration in force, nil if there is none.
 	Table func() *catalog.Table
-	// Publish tells gateways what is known beyond the replicas' own words.
+	// Publish sends gateways the copies that differ from what the replicas last reported.
 	Publish func(*wire.Holdings)
-	// Lease is how long two holders must keep apart.
+	// Lease is the time that has to pass between the orders of two holders.
 	Lease time.Duration
 	Ring  *event.Ring
 	Now   func() time.Time
-	// Go runs a call beside the placer; nil means a goroutine.
+	// Go runs a call concurrently; nil means in a goroutine.
 	Go func(func())
 }
 
-// Placer places models on replicas; it is safe for concurrent use.
+// Placer places models and adapters on replicas. It is safe for concurrent use.
 type Placer struct {
 	options Options
 
-	mu      sync.Mutex
-	units   map[string]*unit
-	demand  *demand
-	buckets map[string]*bucket
-	token   uint64
-	fenced  bool
-	version uint64
-	// told are the copies that gateways were told of last.
-	told []wire.Holding
-	// toldComing are the models that they were told of last as being loaded.
-	toldComing []modelKey
-	wake       wakeup.Flag
-	// planned is when each service's models were last planned.
-	planned map[string]time.Time
-	// newest is when a replica was last heard of for the first time, eldest when the
-	// first was; gathered is set once they have been given time to come.
-	newest   time.Time
-	eldest   time.Time
-	gathered bool
+	mu       sync.Mutex
+	replicas map[string]*replicaState
+	demand   *demand
+	buckets  map[string]*tokenBucket
+	// fencingToken is the term of the current leadership; fenced is set once a replica rejected an
+	// order because it has seen a higher token.
+	fencingToken    uint64
+	fenced          bool
+	holdingsVersion uint64
+	// publishedCopies are the copies in the last holdings sent to gateways.
+	publishedCopies []wire.Holding
+	// publishedComing are the models listed as coming in the last holdings sent to gateways.
+	publishedComing []modelKey
+	wake            wakeup.Flag
+	// plannedAt is when the models of each service were last planned.
+	plannedAt map[string]time.Time
+	// lastNewReplicaAt is when the latest replica was first seen, firstReplicaAt when the first one
+	// was. registrationsSettled is set once all replicas have had the time to register.
+	lastNewReplicaAt     time.Time
+	firstReplicaAt       time.Time
+	registrationsSettled bool
+	// unplaced are the models that no replica had room for in the last plan.
 	unplaced map[modelKey]bool
-	// drains are the zones whose replicas get nothing new; nil if there is none.
-	drains *wire.ZoneDrains
-	// lost are the models without a copy, with since when.
-	lost map[modelKey]time.Time
+	// zoneDrains are the drained zones, whose replicas get no orders; nil if there are none.
+	zoneDrains *wire.ZoneDrains
+	// noCopySince holds when each model without a copy was first seen without one.
+	noCopySince map[modelKey]time.Time
 }
 
-// New returns a placer that knows no replicas.
+// New returns a placer without replicas.
 func New(options Options) *Placer {
 	if options.Go == nil {
 		options.Go = func(f func()) { go f() }
 	}
 	return &Placer{
-		options:  options,
-		units:    map[string]*unit{},
-		demand:   newDemand(),
-		buckets:  map[string]*bucket{},
-		wake:     wakeup.New(),
-		planned:  map[string]time.Time{},
-		unplaced: map[modelKey]bool{},
-		lost:     map[modelKey]time.Time{},
+		options:     options,
+		replicas:    map[string]*replicaState{},
+		demand:      newDemand(),
+		buckets:     map[string]*tokenBucket{},
+		wake:        wakeup.New(),
+		plannedAt:   map[string]time.Time{},
+		unplaced:    map[modelKey]bool{},
+		noCopySince: map[modelKey]time.Time{},
 	}
 }
 
-// SetReplicas takes in what changed of the replicas as the control nodes see them.
+// SetReplicas applies changes to the registered replicas.
 func (p *Placer) SetReplicas(changes registry.Changes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
 	for i := range changes.Entries {
-		p.takeEntry(now, &changes.Entries[i])
+		p.updateReplica(now, &changes.Entries[i])
 	}
 	for _, id := range changes.Removed {
-		delete(p.units, id)
+		delete(p.replicas, id)
 	}
 	p.wake.Raise()
 }
 
-// takeEntry takes in one replica; the lock is held.
-func (p *Placer) takeEntry(now time.Time, e *registry.Entry) {
-	u := p.units[e.Record.ID]
-	if u == nil {
-		u = newUnit(e.Record)
-		p.units[e.Record.ID] = u
-		p.newest = now
-		if p.eldest.IsZero() {
-			p.eldest = now
+// updateReplica applies the registration of one replica; the lock is held.
+func (p *Placer) updateReplica(now time.Time, e *registry.Entry) {
+	r := p.replicas[e.Record.ID]
+	if r == nil {
+		r = newReplicaState(e.Record)
+		p.replicas[e.Record.ID] = r
+		p.lastNewReplicaAt = now
+		if p.firstReplicaAt.IsZero() {
+			p.firstReplicaAt = now
 		}
 	}
-	u.record = e.Record
-	u.listed = e.Usable()
-	p.setUsable(u)
-	if e.Record.Sequence > u.beat {
-		u.beat = e.Record.Sequence
-		u.reconcile(now, e.Record.Models, false)
+	r.record = e.Record
+	r.listed = e.Usable()
+	p.updateUsable(r)
+	if e.Record.Sequence > r.recordSequence {
+		r.recordSequence = e.Record.Sequence
+		r.reconcile(now, e.Record.Models, false)
 	}
 }
 
-// setUsable brings up to date whether a replica may be ordered to, and counts as a place for
-// copies: what a drained zone holds has to come elsewhere, as if it were lost. The lock is held.
-func (p *Placer) setUsable(u *unit) {
-	u.usable = u.listed && !u.leaving && !p.drains.Drained(u.record.Zone)
+// updateUsable recomputes whether a replica may get orders and its copies count. A replica in a
+// drained zone is not usable, so that its models are loaded elsewhere as if it had failed. The lock
+// is held.
+func (p *Placer) updateUsable(r *replicaState) {
+	r.usable = r.listed && !r.leaving && !p.zoneDrains.Drained(r.record.Zone)
 }
 
-// SetDrains takes in the zones whose replicas get nothing new, no orders either.
-func (p *Placer) SetDrains(drains *wire.ZoneDrains) {
+// SetDrains sets the drained zones, whose replicas get no orders.
+func (p *Placer) SetDrains(zoneDrains *wire.ZoneDrains) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drains = drains
-	for _, u := range p.units {
-		p.setUsable(u)
+	p.zoneDrains = zoneDrains
+	for _, r := range p.replicas {
+		p.updateUsable(r)
 	}
 	p.wake.Raise()
 }
 
-// TakeUsage takes in what a gateway's requests ask for.
+// TakeUsage records what the requests of a gateway asked for.
 func (p *Placer) TakeUsage(usage wire.Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.demand.take(p.options.Now(), usage)
+	p.demand.record(p.options.Now(), usage)
 	for _, asked := range usage.Models {
 		if asked.Missing > 0 {
 			p.wake.Raise()
@@ -188,9 +195,9 @@
 	}
 }
 
-// Run places until the context ends.
+// Run plans and sends orders until the context ends.
 func (p *Placer) Run(ctx context.Context) {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -200,30 +207,30 @@
 		case <-p.wake.Raised():
 		}
 		lead := p.options.Leading()
-		if began := p.options.Now(); p.due(began, lead) {
+		if began := p.options.Now(); p.hasAuthority(began, lead) {
 			p.step(ctx, lead)
 			time.Sleep(pauseAfter(p.options.Now().Sub(began)))
 		}
 	}
 }
 
-// pauseAfter returns the pause after a step that took a time.
+// pauseAfter returns the pause after a step of the given duration.
 func pauseAfter(took time.Duration) time.Duration {
-	return min(max(pausesPerStep*took, stepPause), longestStepPause)
+	return min(max(stepPauseFactor*took, minStepPause), maxStepPause)
 }
 
-// due reports whether this node may order: it leads, and any earlier holder has
-// been silent for a lease.
-func (p *Placer) due(now time.Time, lead Leading) bool {
+// hasAuthority reports whether this node may send orders: it leads, and the lease of any earlier
+// holder has expired.
+func (p *Placer) hasAuthority(now time.Time, lead Leading) bool {
 	return lead.Self && now.Sub(lead.Since) >= p.options.Lease
 }
 
-// step takes all decisions that are due.
+// step makes all decisions that are due.
 func (p *Placer) step(ctx context.Context, lead Leading) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if lead.Token != p.token {
-		p.begin(lead)
+	if lead.Token != p.fencingToken {
+		p.beginTerm(lead)
 	}
 	if p.fenced {
 		return
@@ -242,103 +249,104 @@
 	p.publish(now)
 }
 
-// begin takes up the work of a term: what other holders ordered is not known.
-func (p *Placer) begin(lead Leading) {
-	p.token = lead.Token
+// beginTerm resets the state that depends on orders, since the orders of earlier holders are not
+// known.
+func (p *Placer) beginTerm(lead Leading) {
+	p.fencingToken = lead.Token
 	p.fenced = false
-	p.version = 0
-	p.told = nil
-	p.buckets = map[string]*bucket{}
-	p.lost = map[modelKey]time.Time{}
-	for _, u := range p.units {
-		u.known = false
-		u.busy = false
-		u.next = ""
+	p.holdingsVersion = 0
+	p.publishedCopies = nil
+	p.buckets = map[string]*tokenBucket{}
+	p.noCopySince = map[modelKey]time.Time{}
+	for _, r := range p.replicas {
+		r.orderCountKnown = false
+		r.runsUnknownOrder = false
+		r.pendingLoad = ""
 	}
 	p.options.Ring.Add(event.Event{Kind: event.AuthorityGranted, Host: p.options.Holder, Reason: fmt.Sprintf("orders under fencing token %d", lead.Token)})
 }
 
 func (p *Placer) stepService(ctx context.Context, now time.Time, s *catalog.Service) {
-	units := p.unitsOf(s.Name)
-	for _, u := range units {
-		p.settle(ctx, now, u)
+	replicas := p.replicasOf(s.Name)
+	for _, r := range replicas {
+		p.advance(ctx, now, r)
 	}
-	if p.complete(now) && now.Sub(p.planned[s.Name]) >= planEvery/2 {
-		p.planModels(ctx, now, s, units)
+	if p.registrationsComplete(now) && now.Sub(p.plannedAt[s.Name]) >= planInterval/2 {
+		p.planModels(ctx, now, s, replicas)
 	}
-	holders := adapterHolders(s.Name, units)
-	p.planAdapters(ctx, now, s, units, holders)
-	p.spreadAdapters(ctx, now, s, units, holders)
+	copyCounts := countAdapterCopies(s.Name, replicas)
+	p.planAdapters(ctx, now, s, replicas, copyCounts)
+	p.replicateAdapters(ctx, now, s, replicas, copyCounts)
 }
 
-// complete reports whether the replicas that exist have had the time to register.
-// Planned with half of them, models that the others hold would seem lost.
-func (p *Placer) complete(now time.Time) bool {
-	if !p.gathered && !p.eldest.IsZero() {
-		p.gathered = now.Sub(p.newest) >= gatherPause || now.Sub(p.eldest) >= p.options.Lease
+// registrationsComplete reports whether the existing replicas have had the time to register. A plan
+// made with only half of the replicas would load models again that the others hold.
+func (p *Placer) registrationsComplete(now time.Time) bool {
+	if !p.registrationsSettled && !p.firstReplicaAt.IsZero() {
+		p.registrationsSettled = now.Sub(p.lastNewReplicaAt) >= registrationQuietPeriod || now.Sub(p.firstReplicaAt) >= p.options.Lease
 	}
-	return p.gathered
+	return p.registrationsSettled
 }
 
-func (p *Placer) unitsOf(service string) []*unit {
-	var units []*unit
-	for _, id := range sortedIDs(p.units) {
-		if u := p.units[id]; u.record.Service == service {
-			units = append(units, u)
+func (p *Placer) replicasOf(service string) []*replicaState {
+	var replicas []*replicaState
+	for _, id := range sortedIDs(p.replicas) {
+		if r := p.replicas[id]; r.record.Service == service {
+			replicas = append(replicas, r)
 		}
 	}
-	return units
+	return replicas
 }
 
-// settle moves on what time alone moves: questions to replicas in doubt,
-// adapters that have arrived, copies that are closed long enough.
-func (p *Placer) settle(ctx context.Context, now time.Time, u *unit) {
-	if !u.usable {
+// advance applies what changes by the passage of time alone on a replica: it requests reports of
+// replicas in an unknown state, marks loaded adapters as ready and unloads drained copies.
+func (p *Placer) advance(ctx context.Context, now time.Time, r *replicaState) {
+	if !r.usable {
 		return
 	}
-	if u.quiet = now.Before(u.quietUntil); u.quiet {
+	if r.backingOff = now.Before(r.backoffUntil); r.backingOff {
 		return
 	}
-	if (!u.known || u.doubt || u.busy) && !u.sending && now.Sub(u.askedAt) >= askAgain {
-		p.ask(ctx, now, u)
+	if (!r.orderCountKnown || r.outcomeUnknown || r.runsUnknownOrder) && !r.callInFlight && now.Sub(r.reportRequestedAt) >= reportInterval {
+		p.requestReport(ctx, now, r)
 	}
-	for name, c := range u.copies {
+	for name, c := range r.copies {
 		for _, a := range c.adapters {
 			if a.phase == loading && !a.readyAt.IsZero() && !now.Before(a.readyAt) {
 				a.phase = ready
 			}
 		}
-		if c.phase == closing && now.Sub(c.since) >= closeFor && p.mayOrder(u) && !u.busy {
-			p.send(ctx, now, u, Order{Operation: Unload, Model: name})
+		if c.phase == draining && now.Sub(c.since) >= drainTime && p.mayOrder(r) && !r.runsUnknownOrder {
+			p.sendOrder(ctx, now, r, Order{Operation: Unload, Model: name})
 		}
-		if c.phase == loading && now.Sub(c.since) > loadPatience {
-			u.doubt = true
+		if c.phase == loading && now.Sub(c.since) > loadTimeout {
+			r.outcomeUnknown = true
 		}
 	}
 }
 
-// loadPatience is after how long a load that no word came of is asked about.
-const loadPatience = 25 * time.Second
+// loadTimeout is how long a load may go unconfirmed before a report is requested.
+const loadTimeout = 25 * time.Second
 
-func (p *Placer) mayOrder(u *unit) bool {
-	return u.usable && u.known && !u.doubt && !u.sending && !u.quiet
+func (p *Placer) mayOrder(r *replicaState) bool {
+	return r.usable && r.orderCountKnown && !r.outcomeUnknown && !r.callInFlight && !r.backingOff
 }
 
-// ask gets a replica's report; the lock is held.
-func (p *Placer) ask(ctx context.Context, now time.Time, u *unit) {
-	u.sending = true
-	u.askedAt = now
-	name, address := u.record.ReplicaName(), u.record.Address
+// requestReport asks a replica for a report in the background; the lock is held.
+func (p *Placer) requestReport(ctx context.Context, now time.Time, r *replicaState) {
+	r.callInFlight = true
+	r.reportRequestedAt = now
+	name, address := r.record.ReplicaName(), r.record.Address
 	p.options.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		report, err := p.options.Calls.Report(ctx, name, address)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		u.sending = false
-		u.hear(p.options.Now(), report.Word)
-		if err == nil && report.of(&u.record) {
-			u.takeReport(p.options.Now(), report)
+		r.callInFlight = false
+		r.updateAvailability(p.options.Now(), report.Word)
+		if err == nil && report.of(&r.record) {
+			r.applyReport(p.options.Now(), report)
 		}
 		p.wake.Raise()
 	})
--- a/src/placer/placer_bench_test.go
+++ b/src/placer/placer_bench_test.go
@@ -11,12 +11,12 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// placerSizes are the replicas of the users' grown and large installations, and of their
-// first letter's size in two years, and of 300 hosts with ten each.
+// placerSizes are the numbers of replicas of the grown and the large installation, of the first
+// installation's expected size in two years, and of 300 hosts with ten replicas each.
 var placerSizes = []int{100, 240, 780, 3000}
 
-// benchPlacer returns a placer that leads replicas with three models and eight adapters
-// each, and a catalog of somewhat fewer models.
+// benchPlacer returns a leading placer for replicas with three models and eight adapters each, and
+// a catalog with somewhat fewer models.
 func benchPlacer(size int) (*Placer, func(i int, sequence uint64) registry.Entry) {
 	engine := &catalog.Engine{Slots: 64, WeightsMB: 220000, AdapterSlots: 8, LoadsPerSecond: float64(size) / 7}
 	models := size * 17 / 10
@@ -24,7 +24,7 @@
 		engine.Models = append(engine.Models, catalog.Model{Name: fmt.Sprint("m", i), WeightsMB: 70000, Load: 8 * time.Second, Adapters: 2, AdapterMB: 60})
 	}
 	table := catalog.NewTable(catalog.Document{Version: 1, Services: []catalog.Service{{Name: "s", Engine: engine}}})
-	now := noon
+	now := startTime
 	p := New(Options{
 		Holder: "h",
 		Calls: Calls{
@@ -33,7 +33,7 @@
 				return Report{Sequence: 1}, nil
 			},
 		},
-		Leading: func() Leading { return Leading{Self: true, Token: 5, Since: noon.Add(-time.Minute)} },
+		Leading: func() Leading { return Leading{Self: true, Token: 5, Since: startTime.Add(-time.Minute)} },
 		Table:   func() *catalog.Table { return table },
 		Publish: func(*wire.Holdings) {},
 		Now:     func() time.Time { return now },
@@ -55,7 +55,7 @@
 	return p, entry
 }
 
-// BenchmarkOneReplicaBeats is what a control node does for one replica's news.
+// BenchmarkOneReplicaBeats measures the handling of one heartbeat at a control node.
 func BenchmarkOneReplicaBeats(b *testing.B) {
 	for _, size := range placerSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// BenchmarkStepAtSizes is what the leader does each time that it looks whether anything is due.
+// BenchmarkStepAtSizes measures one step of the leader.
 func BenchmarkStepAtSizes(b *testing.B) {
 	for _, size := range placerSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -16,16 +16,16 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-func TestEveryModelAndAdapterGetsAPlace(t *testing.T) {
+func TestEveryModelAndAdapterIsLoaded(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	e.AdapterSlots = 12
 	e.WeightsMB = 225
-	w := newWorld(e, newFakeReplica("a", e, "m0"), newFakeReplica("b", e))
-	w.run(20 * time.Second)
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"), newFakeReplica("b", e))
+	sim.run(20 * time.Second)
 	for _, model := range e.Models {
 		found := map[string]bool{}
-		for _, f := range w.replicas {
+		for _, f := range sim.fakes {
 			for adapter := range f.models[model.Name] {
 				found[adapter] = true
 			}
@@ -34,14 +34,14 @@
 	}
 }
 
-func TestAnAdapterThatIsWaitedForComesAtOnce(t *testing.T) {
+func TestRequestedAdapterIsLoadedAtOnce(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0"))
-	w.run(5 * time.Second)
-	f := w.replicas[0]
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
+	sim.run(5 * time.Second)
+	f := sim.fakes[0]
 	for adapter := range f.models["m0"] {
-		w.ask("m0", adapter, 10, 0, 0)
+		sim.request("m0", adapter, 10, 0, 0)
 	}
 	absent := ""
 	for n := 1; n <= 4; n++ {
@@ -49,41 +49,41 @@
 			absent = name
 		}
 	}
-	is.True(absent != "") // three places for four adapters
-	w.ask("m0", absent, 1, 0, 1)
-	w.run(3 * time.Second)
+	is.True(absent != "") // three slots for four adapters
+	sim.request("m0", absent, 1, 0, 1)
+	sim.run(3 * time.Second)
 	is.True(f.models["m0"][absent])
-	is.Equal(f.over, "")
+	is.Equal(f.overcommitted, "")
 }
 
-// TestAnAdapterInUseKeepsItsPlaceUntilItIsGone: a replica that accepts the unload
-// of an adapter in use still holds it; nothing may be loaded in its place yet.
-func TestAnAdapterInUseKeepsItsPlaceUntilItIsGone(t *testing.T) {
+// TestAdapterInUseKeepsItsSlotUntilUnloaded checks that nothing is loaded in the slot of an adapter
+// in use while it is only scheduled for unloading: the replica still holds it.
+func TestAdapterInUseKeepsItsSlotUntilUnloaded(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0"))
-	f := w.replicas[0]
-	w.run(5 * time.Second)
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
+	f := sim.fakes[0]
+	sim.run(5 * time.Second)
 	for n := 1; n <= 4; n++ {
-		f.used[AdapterName{"m0", "a" + strconv.Itoa(n)}] = true
+		f.inUse[AdapterName{"m0", "a" + strconv.Itoa(n)}] = true
 	}
 	for n := 1; n <= 4; n++ {
-		w.ask("m0", "a"+strconv.Itoa(n), 1, 0, 1)
-		w.run(time.Second)
-		is.Equal(f.over, "")
+		sim.request("m0", "a"+strconv.Itoa(n), 1, 0, 1)
+		sim.run(time.Second)
+		is.Equal(f.overcommitted, "")
 	}
 }
 
 func TestDemandBringsCopiesAndKeepsTheLastOfOthers(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m3", "m4", "m0"), newFakeReplica("c", e, "m0", "m1", "m2"))
+	sim := newSimulation(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m3", "m4", "m0"), newFakeReplica("c", e, "m0", "m1", "m2"))
 	for range 40 {
-		w.ask("m3", "", 5, 9000, 0)
-		w.run(500 * time.Millisecond)
+		sim.request("m3", "", 5, 9000, 0)
+		sim.run(500 * time.Millisecond)
 	}
 	copies := map[string]int{}
-	for _, f := range w.replicas {
+	for _, f := range sim.fakes {
 		for name := range f.models {
 			copies[name]++
 		}
@@ -97,97 +97,97 @@
 func TestANewHolderKeepsApartFromTheOldOne(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e))
-	w.lead = Leading{Self: true, Token: 6, Since: noon}
+	sim := newSimulation(e, newFakeReplica("a", e))
+	sim.lead = Leading{Self: true, Token: 6, Since: startTime}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	w.placer.Run(ctx) // returns at once
-	w.beat(w.replicas[0])
-	is.True(!w.placer.due(w.now.Add(2900*time.Millisecond), w.lead))
-	is.True(w.placer.due(w.now.Add(3*time.Second), w.lead))
-	is.True(!w.placer.due(w.now.Add(time.Hour), Leading{Token: 6}))
+	sim.placer.Run(ctx) // returns at once
+	sim.heartbeat(sim.fakes[0])
+	is.True(!sim.placer.hasAuthority(sim.now.Add(2900*time.Millisecond), sim.lead))
+	is.True(sim.placer.hasAuthority(sim.now.Add(3*time.Second), sim.lead))
+	is.True(!sim.placer.hasAuthority(sim.now.Add(time.Hour), Leading{Token: 6}))
 }
 
-// TestANewHolderWaitsForALoadItDoesNotKnow: what the earlier holder had ordered
-// takes room though the replica does not name it yet.
-func TestANewHolderWaitsForALoadItDoesNotKnow(t *testing.T) {
+// TestNewLeaderWaitsForUnknownLoad checks that a load ordered by the earlier holder counts as
+// taking room, though the replica does not list it yet.
+func TestNewLeaderWaitsForUnknownLoad(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	e.Models = e.Models[:4]
-	w := newWorld(e, newFakeReplica("a", e, "m0", "m1"))
-	f := w.replicas[0]
+	sim := newSimulation(e, newFakeReplica("a", e, "m0", "m1"))
+	f := sim.fakes[0]
 	for range 100 { // the first plan waits for replicas to register
-		if w.run(50 * time.Millisecond); f.loading != "" {
+		if sim.run(50 * time.Millisecond); f.loading != "" {
 			break
 		}
 	}
-	is.True(f.loading != "") // one of the two that nobody holds
-	w.succeed()
-	w.run(5 * time.Second)
-	is.Equal(f.over, "")
+	is.True(f.loading != "") // one of the two models without a copy
+	sim.changeLeader()
+	sim.run(5 * time.Second)
+	is.Equal(f.overcommitted, "")
 }
 
-// TestASilentReplicaKeepsWhatItHolds: one that is heard again must not lose its
-// models because it was silent for a while.
-func TestASilentReplicaKeepsWhatItHolds(t *testing.T) {
+// TestSilentReplicaKeepsItsModels checks that a replica keeps its models if its heartbeats are
+// missing for a while.
+func TestSilentReplicaKeepsItsModels(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m0", "m3", "m4"))
-	w.run(2 * time.Second)
-	silent := w.entries["a"]
+	sim := newSimulation(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m0", "m3", "m4"))
+	sim.run(2 * time.Second)
+	silent := sim.entries["a"]
 	silent.Silent = true
-	w.entries["a"] = silent
-	w.tell()
-	w.step()
-	w.run(3 * time.Second)
-	is.Equal(len(w.replicas[0].models), 3)
+	sim.entries["a"] = silent
+	sim.registerAll()
+	sim.step()
+	sim.run(3 * time.Second)
+	is.Equal(len(sim.fakes[0].models), 3)
 }
 
-func TestAHolderThatIsFencedOffOrdersNothingMore(t *testing.T) {
+func TestFencedLeaderSendsNoMoreOrders(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e))
-	w.replicas[0].token = 9
-	w.run(10 * time.Second)
-	is.Equal(len(w.orders), 1)
+	sim := newSimulation(e, newFakeReplica("a", e))
+	sim.fakes[0].token = 9
+	sim.run(10 * time.Second)
+	is.Equal(len(sim.orders), 1)
 }
 
 func TestAnOrderIsNotSentOnceLeadershipIsGone(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e))
-	w.beat(w.replicas[0])
-	w.placer.step(context.Background(), w.lead)
-	w.lead = Leading{Token: 6}
-	for len(w.pending) > 0 {
-		f := w.pending[0]
-		w.pending = w.pending[1:]
+	sim := newSimulation(e, newFakeReplica("a", e))
+	sim.heartbeat(sim.fakes[0])
+	sim.placer.step(context.Background(), sim.lead)
+	sim.lead = Leading{Token: 6}
+	for len(sim.pendingCalls) > 0 {
+		f := sim.pendingCalls[0]
+		sim.pendingCalls = sim.pendingCalls[1:]
 		f()
-		w.placer.step(context.Background(), Leading{Self: true, Token: 5})
+		sim.placer.step(context.Background(), Leading{Self: true, Token: 5})
 	}
-	is.Equal(len(w.orders), 0)
+	is.Equal(len(sim.orders), 0)
 }
 
-// TestRoomIsNeverOvercommitted: whatever happens to orders, whichever adapters
-// are in use and whoever leads, no replica is ordered to hold more than it has
-// room for, and loads from the store keep to their rate.
+// TestRoomIsNeverOvercommitted checks that no replica is ordered to hold more than it has room for,
+// and that loads from the store keep to their rate, whatever happens to orders, whichever adapters
+// are in use and whoever leads.
 func TestRoomIsNeverOvercommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := testEngine()
-		var replicas []*fakeReplica
+		var fakes []*fakeReplica
 		for i := range rapid.IntRange(1, 3).Draw(t, "replicas") {
 			var models []string
 			for range rapid.IntRange(0, 3).Draw(t, "models") {
 				models = append(models, "m"+strconv.Itoa(rapid.IntRange(0, 4).Draw(t, "model")))
 			}
-			replicas = append(replicas, newFakeReplica("r"+strconv.Itoa(i), e, models...))
+			fakes = append(fakes, newFakeReplica("r"+strconv.Itoa(i), e, models...))
 		}
-		unfenced := rapid.Bool().Draw(t, "nobody checks fences")
-		for _, f := range replicas {
-			f.unfenced = unfenced
+		ignoresFencing := rapid.Bool().Draw(t, "replicas ignore fencing")
+		for _, f := range fakes {
+			f.ignoresFencing = ignoresFencing
 		}
-		w := newWorld(e, replicas...)
-		w.fault = func(Order) fault {
+		sim := newSimulation(e, fakes...)
+		sim.fault = func(Order) fault {
 			return fault(max(rapid.IntRange(-6, 3).Draw(t, "fault"), 0))
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -196,37 +196,37 @@
 			if rapid.Bool().Draw(t, "with adapter") {
 				adapter = "a" + strconv.Itoa(rapid.IntRange(1, 4).Draw(t, "adapter"))
 			}
-			w.ask(model, adapter, rapid.IntRange(0, 30).Draw(t, "requests"), rapid.IntRange(0, 60000).Draw(t, "tokens"), rapid.IntRange(0, 1).Draw(t, "missing"))
-			f := w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(t, "which")]
+			sim.request(model, adapter, rapid.IntRange(0, 30).Draw(t, "requests"), rapid.IntRange(0, 60000).Draw(t, "tokens"), rapid.IntRange(0, 1).Draw(t, "missing"))
+			f := sim.fakes[rapid.IntRange(0, len(sim.fakes)-1).Draw(t, "which")]
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0:
-				w.succeed()
+				sim.changeLeader()
 			case 1:
-				f.used[AdapterName{model, adapter}] = true
+				f.inUse[AdapterName{model, adapter}] = true
 			case 2:
-				delete(f.used, AdapterName{model, adapter})
+				delete(f.inUse, AdapterName{model, adapter})
 			case 3:
 				f.restart()
-				f.unfenced = unfenced
+				f.ignoresFencing = ignoresFencing
 			case 4:
-				f.beatLag = time.Duration(rapid.IntRange(0, 4).Draw(t, "heartbeats late by")) * time.Second
+				f.heartbeatLag = time.Duration(rapid.IntRange(0, 4).Draw(t, "heartbeats late by")) * time.Second
 			}
-			w.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "span")) * 50 * time.Millisecond)
-			for _, f := range w.replicas {
-				if f.over != "" {
-					t.Fatal(f.over)
+			sim.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "span")) * 50 * time.Millisecond)
+			for _, f := range sim.fakes {
+				if f.overcommitted != "" {
+					t.Fatal(f.overcommitted)
 				}
 			}
 		}
-		checkStoreRate(t, w)
+		checkStoreRate(t, sim)
 	})
 }
 
-// checkStoreRate holds loads from the store to their rate, with the few more
-// that orders carried out late may bring.
-func checkStoreRate(t *rapid.T, w *world) {
+// checkStoreRate checks the rate of loads from the store, with a margin for orders that are
+// executed late.
+func checkStoreRate(t *rapid.T, sim *simulation) {
 	var all []time.Time
-	for _, f := range w.replicas {
+	for _, f := range sim.fakes {
 		all = append(all, f.storeLoads...)
 	}
 	slices.SortFunc(all, time.Time.Compare)
@@ -238,76 +238,78 @@
 				count++
 			}
 		}
-		if limit := int(w.engine.LoadsPerSecond*window.Seconds()*1.1) + 3; count > limit {
+		if limit := int(sim.engine.LoadsPerSecond*window.Seconds()*1.1) + 3; count > limit {
 			t.Fatalf("%d loads from the store in %v, %d allowed", count, window, limit)
 		}
 	}
 }
 
-// TestARareModelTakesNoRoomFromBusyOnes: a few requests for one model must not
-// cost another, which carries much, its copies.
-func TestARareModelTakesNoRoomFromBusyOnes(t *testing.T) {
+// TestRarelyRequestedModelDisplacesNoBusyOne checks that a few requests for one model do not cost a
+// busy one its copies.
+func TestRarelyRequestedModelDisplacesNoBusyOne(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m0", "m3", "m4"), newFakeReplica("c", e, "m0", "m1", "m2"))
+	sim := newSimulation(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m0", "m3", "m4"), newFakeReplica("c", e, "m0", "m1", "m2"))
 	for range 20 {
-		w.ask("m0", "", 5, 8000, 0)
-		w.run(500 * time.Millisecond)
+		sim.request("m0", "", 5, 8000, 0)
+		sim.run(500 * time.Millisecond)
 	}
-	orders := len(w.orders)
-	w.ask("m3", "", 2, 4000, 0)
-	w.run(2 * time.Second)
-	for _, order := range w.orders[orders:] {
+	orders := len(sim.orders)
+	sim.request("m3", "", 2, 4000, 0)
+	sim.run(2 * time.Second)
+	for _, order := range sim.orders[orders:] {
 		is.True(order.Adapter != "") // no model moved
 	}
 }
 
-// TestStepsLeaveTimeForOtherWork, however long one takes: at 3,000 replicas steps took all
-// that consensus needed.
+// TestStepsLeaveTimeForOtherWork guards against steps that take most of the CPU time: at 3,000
+// replicas they left too little for consensus.
 func TestStepsLeaveTimeForOtherWork(t *testing.T) {
 	is := is.New(t)
-	is.Equal(pauseAfter(time.Millisecond), stepPause)
+	is.Equal(pauseAfter(time.Millisecond), minStepPause)
 	is.Equal(pauseAfter(12*time.Millisecond), 48*time.Millisecond)
-	is.Equal(pauseAfter(time.Second), longestStepPause)
+	is.Equal(pauseAfter(time.Second), maxStepPause)
 }
 
-// TestAReplicaThatWantsNoCallsGetsNone from this node for the time that it names, neither orders
-// nor questions, and gets orders after it.
-func TestAReplicaThatWantsNoCallsGetsNone(t *testing.T) {
+// TestReplicaThatAsksForBackoffGetsNoCalls checks that a replica gets neither orders nor report
+// requests during the backoff that it asked for, and gets orders after it.
+func TestReplicaThatAsksForBackoffGetsNoCalls(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0"))
-	w.word = Word{Backoff: 8 * time.Second}
-	w.run(2 * time.Second)
-	orders, reports := len(w.orders), w.reports
-	is.Equal(orders+reports, 1) // the question whose answer said so
-	w.word = Word{}
-	w.run(5 * time.Second)
-	is.Equal([]int{len(w.orders), w.reports}, []int{orders, reports})
-	w.run(20 * time.Second)
-	is.True(len(w.orders) > orders)
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
+	sim.availability = Word{Backoff: 8 * time.Second}
+	sim.run(2 * time.Second)
+	orders, reports := len(sim.orders), sim.reports
+	is.Equal(orders+reports, 1) // the report request whose answer asked for the backoff
+	sim.availability = Word{}
+	sim.run(5 * time.Second)
+	is.Equal([]int{len(sim.orders), sim.reports}, []int{orders, reports})
+	sim.run(20 * time.Second)
+	is.True(len(sim.orders) > orders)
 }
 
-// TestOneThatSaidInAnAnswerThatItLeavesGetsNoOrders, also where its calls go on as before, and the
-// models that it holds are placed elsewhere.
-func TestOneThatSaidInAnAnswerThatItLeavesGetsNoOrders(t *testing.T) {
+// TestLeavingReplicaGetsNoOrders checks that a replica that announced in an answer that it leaves
+// gets no more calls, even if later answers do not say so, and that its models are loaded
+// elsewhere.
+func TestLeavingReplicaGetsNoOrders(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
-	w := newWorld(e, newFakeReplica("a", e, "m0"))
-	w.word = Word{Leaving: true}
-	w.run(2 * time.Second)
-	calls := len(w.orders) + w.reports
-	w.word = Word{}
-	w.run(10 * time.Second)
-	is.Equal(len(w.orders)+w.reports, calls)
+	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
+	sim.availability = Word{Leaving: true}
+	sim.run(2 * time.Second)
+	calls := len(sim.orders) + sim.reports
+	sim.availability = Word{}
+	sim.run(10 * time.Second)
+	is.Equal(len(sim.orders)+sim.reports, calls)
 	next := newFakeReplica("b", e)
-	w.replicas = append(w.replicas, next)
-	w.run(30 * time.Second)
+	sim.fakes = append(sim.fakes, next)
+	sim.run(30 * time.Second)
 	is.True(next.models["m0"] != nil)
 }
 
-// TestWhatADrainedZoneHeldComesElsewhere, within the store's rate, and nothing is ordered in the
-// zone; once the drain ends nothing is loaded there that it still holds.
+// TestWhatADrainedZoneHeldComesElsewhere checks that the models of a drained zone are loaded
+// elsewhere at the store's rate and nothing is ordered in the zone, and that no model is loaded
+// there when the drain ends.
 func TestWhatADrainedZoneHeldComesElsewhere(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
@@ -315,24 +317,24 @@
 	x := newFakeReplica("x1", e, "m0", "m1", "m2", "m3", "m4")
 	y, z := newFakeReplica("y1", e), newFakeReplica("z1", e)
 	x.zone, y.zone, z.zone = "x", "y", "z"
-	w := newWorld(e, x, y, z)
-	w.run(5 * time.Second)
-	orders := x.sequence
-	w.placer.SetDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"x"}})
+	sim := newSimulation(e, x, y, z)
+	sim.run(5 * time.Second)
+	orders := x.orderCount
+	sim.placer.SetDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"x"}})
 	for range 60 {
 		for i := range 5 {
-			w.ask(fmt.Sprint("m", i), "", 2, 400, 1)
+			sim.request(fmt.Sprint("m", i), "", 2, 400, 1)
 		}
-		w.run(500 * time.Millisecond)
+		sim.run(500 * time.Millisecond)
 	}
 	for i := range 5 {
 		model := fmt.Sprint("m", i)
-		is.True(holds(y, model) || holds(z, model)) // it serves again
+		is.True(holds(y, model) || holds(z, model)) // served again
 	}
-	is.Equal(x.sequence, orders)
+	is.Equal(x.orderCount, orders)
 	held := len(x.held())
-	w.placer.SetDrains(&wire.ZoneDrains{Revision: 2})
-	w.run(5 * time.Second)
+	sim.placer.SetDrains(&wire.ZoneDrains{Revision: 2})
+	sim.run(5 * time.Second)
 	is.True(len(x.held()) <= held)
 }
 
@@ -340,9 +342,9 @@
 	return slices.ContainsFunc(f.held(), func(h registry.Held) bool { return h.Name == model })
 }
 
-// TestWhatIsAskedForHasACopyInTheEnd: with a place for each model that is asked for, all of them are
-// served soon after the demand has moved, whatever the places held before, and none is loaded again
-// as long as it is asked for.
+// TestWhatIsAskedForHasACopyInTheEnd checks that, with room for every requested model, all of them
+// are served soon after the demand has changed, whatever was loaded before, and that none is loaded
+// twice as long as it is requested.
 func TestWhatIsAskedForHasACopyInTheEnd(t *testing.T) {
 	const models, places = 14, 9
 	rapid.Check(t, func(t *rapid.T) {
@@ -352,11 +354,11 @@
 			e.Models = append(e.Models, catalog.Model{Name: "m" + strconv.Itoa(i), WeightsMB: 70, AdapterMB: 1, Load: 2 * time.Second})
 		}
 		a, b, c := newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m3", "m4", "m5"), newFakeReplica("c", e, "m6", "m7", "m0")
-		w := newWorld(e, a, b, c)
-		w.run(3 * time.Second)
+		sim := newSimulation(e, a, b, c)
+		sim.run(3 * time.Second)
 		for range rapid.IntRange(1, 4).Draw(t, "moves of the demand") {
 			asked := rapid.SliceOfNDistinct(rapid.IntRange(0, models-1), 1, places, rapid.ID).Draw(t, "asked for")
-			orders := len(w.orders)
+			orders := len(sim.orders)
 			served := func(model int) bool {
 				name := "m" + strconv.Itoa(model)
 				return holds(a, name) || holds(b, name) || holds(c, name)
@@ -367,12 +369,12 @@
 					if served(model) {
 						missing = 0
 					}
-					w.ask("m"+strconv.Itoa(model), "", 1, 150, missing)
+					sim.request("m"+strconv.Itoa(model), "", 1, 150, missing)
 				}
-				w.run(500 * time.Millisecond)
+				sim.run(500 * time.Millisecond)
 			}
 			loads := map[string]int{}
-			for _, order := range w.orders[orders:] {
+			for _, order := range sim.orders[orders:] {
 				if order.Operation == Load && order.Adapter == "" {
 					loads[order.Model]++
 				}
--- a/src/placer/plan.go
+++ b/src/placer/plan.go
@@ -13,29 +13,29 @@
 	"github.com/moorspool/moorspool/src/rebalance"
 )
 
-// nextPatience is how long a load may wait for its room to become free.
-const nextPatience = 12 * time.Second
+// pendingLoadTimeout is how long a load may wait for its room to become free.
+const pendingLoadTimeout = 12 * time.Second
 
-// planModels orders the next loads and unloads of models; the lock is held.
-func (p *Placer) planModels(ctx context.Context, now time.Time, s *catalog.Service, units []*unit) {
-	p.planned[s.Name] = now
+// planModels orders the next loads and unloads of models of a service; the lock is held.
+func (p *Placer) planModels(ctx context.Context, now time.Time, s *catalog.Service, replicas []*replicaState) {
+	p.plannedAt[s.Name] = now
 	b := p.buckets[s.Name]
 	if b == nil {
-		b = newBucket(s.Engine.LoadsPerSecond)
+		b = newTokenBucket(s.Engine.LoadsPerSecond)
 		p.buckets[s.Name] = b
 	}
-	b.fill(now, s.Engine.LoadsPerSecond)
-	p.weighLimits(now, s, units)
-	p.loadNext(ctx, now, s, units, b)
-	plan := rebalance.Plan(p.input(now, s, units, b))
+	b.refill(now, s.Engine.LoadsPerSecond)
+	p.updateUnderCapacity(now, s, replicas)
+	p.startPendingLoads(ctx, now, s, replicas, b)
+	plan := rebalance.Plan(p.planInput(now, s, replicas, b))
 	for _, move := range plan.Moves {
-		p.carryOut(ctx, now, s, units[move.Server], move, b)
+		p.startMove(ctx, now, s, replicas[move.Server], move, b)
 	}
-	p.noteUnplaced(s.Name, plan.Unplaced)
+	p.logUnplaced(s.Name, plan.Unplaced)
 }
 
-// noteUnplaced logs the models of a service that have newly no place.
-func (p *Placer) noteUnplaced(service string, models []string) {
+// logUnplaced adds an event for each model of a service for which no replica has room any more.
+func (p *Placer) logUnplaced(service string, models []string) {
 	for key := range p.unplaced {
 		if key.service == service && !slices.Contains(models, key.model) {
 			delete(p.unplaced, key)
@@ -50,35 +50,35 @@
 	}
 }
 
-// input is what the plan depends on.
-func (p *Placer) input(now time.Time, s *catalog.Service, units []*unit, b *bucket) rebalance.Input {
-	in := rebalance.Input{StoreLoads: b.whole() - pendingStoreLoads(units)}
-	shares := p.shares(now, s)
-	if !p.demand.known(s.Name) {
-		shares = priorShares(s.Engine, units)
+// planInput returns the input of the next plan.
+func (p *Placer) planInput(now time.Time, s *catalog.Service, replicas []*replicaState, b *tokenBucket) rebalance.Input {
+	in := rebalance.Input{StoreLoads: b.available() - pendingStoreLoads(replicas)}
+	modelWork := p.modelWork(now, s)
+	if !p.demand.hasUsage(s.Name) {
+		modelWork = priorWork(s.Engine, replicas)
 	}
-	shares = forecast(shares)
-	waited := p.waitedFor(now, s.Name)
+	modelWork = forecast(modelWork)
+	waited := p.modelsWaitedFor(now, s.Name)
 	for i, model := range s.Engine.Models {
 		in.Models = append(in.Models, rebalance.Model{
 			Waited:    waited[model.Name],
 			IdleFor:   p.demand.idleFor(now, modelKey{s.Name, model.Name}),
 			Name:      model.Name,
 			Footprint: model.WeightsMB,
-			Work:      shares[i],
-			LostFor:   p.lostFor(now, modelKey{s.Name, model.Name}, units),
+			Work:      modelWork[i],
+			LostFor:   p.noCopyFor(now, modelKey{s.Name, model.Name}, replicas),
 		})
 	}
-	for _, u := range units {
-		in.Servers = append(in.Servers, p.server(s.Engine, u))
+	for _, r := range replicas {
+		in.Servers = append(in.Servers, p.planServer(s.Engine, r))
 	}
 	return in
 }
 
-// waitedFor returns the models that requests lately found no copy of.
-func (p *Placer) waitedFor(now time.Time, service string) map[string]bool {
+// modelsWaitedFor returns the models for which requests recently found no copy.
+func (p *Placer) modelsWaitedFor(now time.Time, service string) map[string]bool {
 	models := map[string]bool{}
-	for _, key := range p.demand.missingLately(now, missingSpan) {
+	for _, key := range p.demand.recentlyMissing(now, missingWindow) {
 		if key.service == service {
 			models[key.model] = true
 		}
@@ -86,43 +86,43 @@
 	return models
 }
 
-// lostFor is for how long a model has had no copy on a usable replica, coming ones
-// included.
-func (p *Placer) lostFor(now time.Time, model modelKey, units []*unit) time.Duration {
-	for _, u := range units {
-		if !u.counts() {
+// noCopyFor returns how long a model has had no copy on a usable replica. Copies that are being
+// loaded, or that room is being made for, count as copies.
+func (p *Placer) noCopyFor(now time.Time, model modelKey, replicas []*replicaState) time.Duration {
+	for _, r := range replicas {
+		if !r.countsAsPlace() {
 			continue
 		}
-		if c := u.copies[model.model]; u.next == model.model || c != nil && (c.phase == ready || c.phase == loading) {
-			delete(p.lost, model)
+		if c := r.copies[model.model]; r.pendingLoad == model.model || c != nil && (c.phase == ready || c.phase == loading) {
+			delete(p.noCopySince, model)
 			return 0
 		}
 	}
-	since, known := p.lost[model]
+	since, known := p.noCopySince[model]
 	if !known {
-		p.lost[model] = now
+		p.noCopySince[model] = now
 		return 0
 	}
 	return now.Sub(since)
 }
 
-// server describes a unit to the plan.
-func (p *Placer) server(e *catalog.Engine, u *unit) rebalance.Server {
-	r := rebalance.Server{
-		ID:     u.record.ID,
-		Zone:   u.record.Zone,
-		Usable: u.counts(),
-		Open:   p.mayOrder(u) && u.next == "" && !u.moving() && !u.busy,
-		Free:   u.freeMB(e),
+// planServer describes a replica to the plan.
+func (p *Placer) planServer(e *catalog.Engine, r *replicaState) rebalance.Server {
+	server := rebalance.Server{
+		ID:     r.record.ID,
+		Zone:   r.record.Zone,
+		Usable: r.countsAsPlace(),
+		Open:   p.mayOrder(r) && r.pendingLoad == "" && !r.modelOrderRunning() && !r.runsUnknownOrder,
+		Free:   r.freeMB(e),
 	}
-	for _, name := range sortedCopies(u) {
-		r.Copies = append(r.Copies, rebalance.Copy{Model: name, Phase: planPhase(u.copies[name].phase)})
+	for _, name := range sortedModels(r) {
+		server.Copies = append(server.Copies, rebalance.Copy{Model: name, Phase: planPhase(r.copies[name].phase)})
 	}
-	if u.next != "" && u.copies[u.next] == nil {
-		r.Copies = append(r.Copies, rebalance.Copy{Model: u.next, Phase: rebalance.Coming})
+	if r.pendingLoad != "" && r.copies[r.pendingLoad] == nil {
+		server.Copies = append(server.Copies, rebalance.Copy{Model: r.pendingLoad, Phase: rebalance.Coming})
 	}
-	r.LoadTime = func(model string) (time.Duration, bool) { return loadTime(e, u, model) }
-	return r
+	server.LoadTime = func(model string) (time.Duration, bool) { return loadTime(e, r, model) }
+	return server
 }
 
 func planPhase(at phase) rebalance.Phase {
@@ -135,89 +135,91 @@
 	return rebalance.Going
 }
 
-// loadTime is how long a load takes on a replica, and whether it needs the store.
-func loadTime(e *catalog.Engine, u *unit, name string) (time.Duration, bool) {
+// loadTime returns how long a replica takes to load a model, and whether it loads it from the
+// weight store.
+func loadTime(e *catalog.Engine, r *replicaState, name string) (time.Duration, bool) {
 	model := e.Model(name)
 	switch {
 	case model == nil:
 		return 0, true
-	case slices.Contains(u.record.InMemory, name):
+	case slices.Contains(r.record.InMemory, name):
 		return model.Warm, false
-	case slices.Contains(u.record.OnDisk, name):
+	case slices.Contains(r.record.OnDisk, name):
 		return model.Disk, false
 	}
 	return model.Load, true
 }
 
-// pendingStoreLoads counts the loads from the store that room is being made for.
-func pendingStoreLoads(units []*unit) int {
+// pendingStoreLoads counts the loads from the weight store that room is being made for.
+func pendingStoreLoads(replicas []*replicaState) int {
 	count := 0
-	for _, u := range units {
-		if u.usable && u.next != "" && !cached(u, u.next) {
+	for _, r := range replicas {
+		if r.usable && r.pendingLoad != "" && !cached(r, r.pendingLoad) {
 			count++
 		}
 	}
 	return count
 }
 
-// loadNext orders the loads that room was made for, and gives up those whose
-// replica can't be used or that took too long.
-func (p *Placer) loadNext(ctx context.Context, now time.Time, s *catalog.Service, units []*unit, b *bucket) {
-	for _, u := range units {
-		if u.next == "" {
+// startPendingLoads orders the loads whose room has become free. It gives up those on replicas that
+// are no longer usable and those that waited too long.
+func (p *Placer) startPendingLoads(ctx context.Context, now time.Time, s *catalog.Service, replicas []*replicaState, b *tokenBucket) {
+	for _, r := range replicas {
+		if r.pendingLoad == "" {
 			continue
 		}
-		model := s.Engine.Model(u.next)
-		if model == nil || !u.usable || u.copies[u.next] != nil || now.Sub(u.nextSince) > nextPatience {
-			u.next = ""
+		model := s.Engine.Model(r.pendingLoad)
+		if model == nil || !r.usable || r.copies[r.pendingLoad] != nil || now.Sub(r.pendingLoadSince) > pendingLoadTimeout {
+			r.pendingLoad = ""
 			continue
 		}
-		if p.mayOrder(u) && !u.moving() && !u.busy && u.freeMB(s.Engine) >= model.WeightsMB {
-			p.load(ctx, now, u, u.next, b)
+		if p.mayOrder(r) && !r.modelOrderRunning() && !r.runsUnknownOrder && r.freeMB(s.Engine) >= model.WeightsMB {
+			p.orderLoad(ctx, now, r, r.pendingLoad, b)
 		}
 	}
 }
 
-// load orders a model unless it needs the store and the store's bound is reached.
-func (p *Placer) load(ctx context.Context, now time.Time, u *unit, model string, b *bucket) {
-	if !cached(u, model) {
-		if b.whole() < 1 {
+// orderLoad orders the load of a model, unless the weights have to come from the weight store and
+// the store's rate limit allows no load now.
+func (p *Placer) orderLoad(ctx context.Context, now time.Time, r *replicaState, model string, b *tokenBucket) {
+	if !cached(r, model) {
+		if b.available() < 1 {
 			return
 		}
 		b.take()
 	}
-	u.next = ""
-	p.send(ctx, now, u, Order{Operation: Load, Model: model})
+	r.pendingLoad = ""
+	p.sendOrder(ctx, now, r, Order{Operation: Load, Model: model})
 }
 
-// freeMB is the room for another model, beside what free adapter places may take.
-func (u *unit) freeMB(e *catalog.Engine) float64 {
-	return e.WeightsMB - u.usedMB(e) - adapterReserve(e, u)
+// freeMB is the memory left for another model, without what is reserved for free adapter slots.
+func (r *replicaState) freeMB(e *catalog.Engine) float64 {
+	return e.WeightsMB - r.usedMB(e) - reservedAdapterMB(e, r)
 }
 
-// carryOut begins a move: the copies that make way are closed, or the load is
-// ordered at once.
-func (p *Placer) carryOut(ctx context.Context, now time.Time, s *catalog.Service, u *unit, move rebalance.Move, b *bucket) {
-	p.options.Ring.Add(event.Event{Kind: event.CopyPlanned, Model: move.Model, Host: u.record.ID, Reason: move.Reason, Rejected: strings.Join(move.Drop, " ")})
-	u.next, u.nextSince = move.Model, now
+// startMove starts a move: it drains the copies that make room, or orders the load at once if none
+// have to.
+func (p *Placer) startMove(ctx context.Context, now time.Time, s *catalog.Service, r *replicaState, move rebalance.Move, b *tokenBucket) {
+	p.options.Ring.Add(event.Event{Kind: event.CopyPlanned, Model: move.Model, Host: r.record.ID, Reason: move.Reason, Rejected: strings.Join(move.Drop, " ")})
+	r.pendingLoad, r.pendingLoadSince = move.Model, now
 	for _, name := range move.Drop {
-		c := u.copies[name]
-		c.phase, c.since = closing, now
-		p.options.Ring.Add(event.Event{Kind: event.CopyDropped, Model: name, Host: u.record.ID, Reason: fmt.Sprintf("room for %s; work %.2f of a replica", move.Model, p.demand.share(now, s.Name, name))})
+		c := r.copies[name]
+		c.phase, c.since = draining, now
+		p.options.Ring.Add(event.Event{Kind: event.CopyDropped, Model: name, Host: r.record.ID, Reason: fmt.Sprintf("room for %s; work %.2f of a replica", move.Model, p.demand.workOf(now, s.Name, name))})
 	}
 	if len(move.Drop) == 0 {
-		p.load(ctx, now, u, move.Model, b)
+		p.orderLoad(ctx, now, r, move.Model, b)
 	}
 }
 
-// cached reports whether a replica can load a model without the store.
-func cached(u *unit, model string) bool {
-	return slices.Contains(u.record.InMemory, model) || slices.Contains(u.record.OnDisk, model)
+// cached reports whether a replica can load a model without the weight store.
+func cached(r *replicaState, model string) bool {
+	return slices.Contains(r.record.InMemory, model) || slices.Contains(r.record.OnDisk, model)
 }
 
-func sortedCopies(u *unit) []string {
-	names := make([]string, 0, len(u.copies))
-	for name := range u.copies {
+func sortedModels(r *replicaState) []string {
+	names := make([]string, 0, len(r.copies))
+	for name := range r.copies {
 		names = append(names, name)
 	}
 	sort.Strings(names)
--- a/src/placer/send.go
+++ b/src/placer/send.go
@@ -12,43 +12,43 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// send orders something; the ledger counts it as begun before it goes out. The
-// lock is held.
-func (p *Placer) send(ctx context.Context, now time.Time, u *unit, order Order) {
-	order.Replica, order.Name = u.record.ID, u.record.ReplicaName()
-	order.Address = u.record.Address
+// sendOrder sends an order to a replica in the background. The ledger counts the order as begun
+// before it is sent. The lock is held.
+func (p *Placer) sendOrder(ctx context.Context, now time.Time, r *replicaState, order Order) {
+	order.Replica, order.Name = r.record.ID, r.record.ReplicaName()
+	order.Address = r.record.Address
 	order.Holder = p.options.Holder
-	order.Token = p.token
-	order.Expected = u.sequence
-	u.begin(now, order)
-	u.sending = true
+	order.Token = p.fencingToken
+	order.Expected = r.orderCount
+	r.recordSent(now, order)
+	r.callInFlight = true
 	p.options.Go(func() {
-		result, word := p.transmit(ctx, order)
+		result, availability := p.transmit(ctx, order)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		u.sending = false
-		u.hear(p.options.Now(), word)
-		p.settleOrder(u, order, result)
+		r.callInFlight = false
+		r.updateAvailability(p.options.Now(), availability)
+		p.recordResult(r, order, result)
 		p.wake.Raise()
 	})
 }
 
-// transmit sends an order if this node still leads at that moment.
+// transmit sends an order if this node still leads.
 func (p *Placer) transmit(ctx context.Context, order Order) (Result, Word) {
 	if lead := p.options.Leading(); !lead.Self || lead.Token != order.Token {
 		return Refused, Word{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return p.options.Calls.Order(ctx, order)
 }
 
-// begin notes in the ledger what an order may bring about.
-func (u *unit) begin(now time.Time, order Order) {
-	c := u.copies[order.Model]
+// recordSent updates the ledger with what an order may change.
+func (r *replicaState) recordSent(now time.Time, order Order) {
+	c := r.copies[order.Model]
 	switch {
 	case order.Adapter == "" && order.Operation == Load:
-		u.copies[order.Model] = &copyState{phase: loading, since: now, adapters: map[string]*adapterState{}}
+		r.copies[order.Model] = &copyState{phase: loading, since: now, adapters: map[string]*adapterState{}}
 	case order.Adapter == "":
 		c.phase, c.since = unloading, now
 	case order.Operation == Load:
@@ -59,52 +59,52 @@
 	}
 }
 
-// settleOrder notes what became of an order; the lock is held.
-func (p *Placer) settleOrder(u *unit, order Order, result Result) {
+// recordResult updates the ledger with the result of an order; the lock is held.
+func (p *Placer) recordResult(r *replicaState, order Order, result Result) {
 	now := p.options.Now()
-	p.noteOrder(order, result)
+	p.logOrder(order, result)
 	switch result {
 	case Taken:
-		u.sequence++
-		u.taken(now, order, p.adapterTime(order))
+		r.orderCount++
+		r.recordTaken(now, order, p.adapterLoadTime(order))
 	case Already:
-		u.already(now, order)
+		r.recordAlready(now, order)
 	case Fenced:
 		p.fenced = true
-		u.doubt = true
+		r.outcomeUnknown = true
 	case Refused, Elsewhere, Invalid, Lost:
-		// What the replica holds now is asked before anything else is ordered.
-		u.doubt = true
-		u.askedAt = now
+		// The next order requires a new report.
+		r.outcomeUnknown = true
+		r.reportRequestedAt = now
 	}
 }
 
-func (p *Placer) adapterTime(order Order) time.Duration {
+func (p *Placer) adapterLoadTime(order Order) time.Duration {
 	table := p.options.Table()
 	if table == nil {
-		return adapterLong
+		return adapterLoadDefault
 	}
-	for _, u := range p.units {
-		if u.record.ID != order.Replica {
+	for _, r := range p.replicas {
+		if r.record.ID != order.Replica {
 			continue
 		}
-		service := table.Service(u.record.Service)
+		service := table.Service(r.record.Service)
 		if service == nil || service.Engine == nil {
-			return adapterLong
+			return adapterLoadDefault
 		}
 		if model := service.Engine.Model(order.Model); model != nil {
-			return adapterShort + time.Duration(model.AdapterMB*float64(adapterPerMB))
+			return adapterLoadBase + time.Duration(model.AdapterMB*float64(adapterLoadPerMB))
 		}
 	}
-	return adapterLong
+	return adapterLoadDefault
 }
 
-// taken notes an order that the replica carries out.
-func (u *unit) taken(now time.Time, order Order, adapterTime time.Duration) {
+// recordTaken records an order that the replica accepted.
+func (r *replicaState) recordTaken(now time.Time, order Order, loadTime time.Duration) {
 	if order.Adapter == "" {
 		return
 	}
-	c := u.copies[order.Model]
+	c := r.copies[order.Model]
 	if c == nil {
 		return
 	}
@@ -113,20 +113,20 @@
 		return
 	}
 	if a := c.adapters[order.Adapter]; a != nil {
-		a.readyAt = now.Add(adapterTime)
+		a.readyAt = now.Add(loadTime)
 	}
 }
 
-// already notes an order whose aim was reached before.
-func (u *unit) already(now time.Time, order Order) {
-	c := u.copies[order.Model]
+// recordAlready records an order whose goal had been reached before.
+func (r *replicaState) recordAlready(now time.Time, order Order) {
+	c := r.copies[order.Model]
 	switch {
 	case c == nil:
 	case order.Operation == Unload && order.Adapter == "":
-		delete(u.copies, order.Model)
+		delete(r.copies, order.Model)
 	case order.Operation == Unload:
 		delete(c.adapters, order.Adapter)
-		u.sequence++
+		r.orderCount++
 	case order.Adapter == "":
 		c.phase, c.since = ready, now
 	default:
@@ -136,7 +136,7 @@
 	}
 }
 
-func (p *Placer) noteOrder(order Order, result Result) {
+func (p *Placer) logOrder(order Order, result Result) {
 	kind := event.OrderSent
 	switch result {
 	case Lost:
@@ -151,69 +151,70 @@
 	p.options.Ring.Add(event.Event{Kind: kind, Host: order.Replica, Model: name, Reason: fmt.Sprintf("%s: %s, token %d, expected count %d", order.Operation, result, order.Token, order.Expected)})
 }
 
-// publish tells the gateways what the replicas have not said yet; the lock is held.
+// publish sends gateways the copies that differ from what the replicas last reported, if they have
+// changed; the lock is held.
 func (p *Placer) publish(now time.Time) {
-	holdings := &wire.Holdings{Term: p.token}
-	for _, id := range sortedIDs(p.units) {
-		u := p.units[id]
-		if u.usable {
-			holdings.Copies = append(holdings.Copies, u.holdings()...)
+	holdings := &wire.Holdings{Term: p.fencingToken}
+	for _, id := range sortedIDs(p.replicas) {
+		r := p.replicas[id]
+		if r.usable {
+			holdings.Copies = append(holdings.Copies, r.holdings()...)
 		}
 	}
 	coming := p.coming(now)
 	for _, c := range coming {
-		holdings.Coming = append(holdings.Coming, wire.Coming{Service: c.service, Model: c.model, InMS: c.in.Milliseconds()})
+		holdings.Coming = append(holdings.Coming, wire.Coming{Service: c.service, Model: c.model, InMS: c.readyIn.Milliseconds()})
 	}
-	names := comingModels(coming)
-	if p.version > 0 && slices.Equal(holdings.Copies, p.told) && slices.Equal(names, p.toldComing) {
+	names := comingKeys(coming)
+	if p.holdingsVersion > 0 && slices.Equal(holdings.Copies, p.publishedCopies) && slices.Equal(names, p.publishedComing) {
 		return
 	}
-	p.told = holdings.Copies
-	p.toldComing = names
-	p.version++
-	holdings.Version = p.version
+	p.publishedCopies = holdings.Copies
+	p.publishedComing = names
+	p.holdingsVersion++
+	holdings.Version = p.holdingsVersion
 	p.options.Publish(holdings)
 }
 
-// holdings returns where the ledger knows more than the replica's last word.
-func (u *unit) holdings() []wire.Holding {
+// holdings returns the copies for which the ledger is newer than the replica's last registration.
+func (r *replicaState) holdings() []wire.Holding {
 	var copies []wire.Holding
-	for _, held := range u.record.Models {
-		c := u.copies[held.Name]
+	for _, held := range r.record.Models {
+		c := r.copies[held.Name]
 		if c == nil || c.phase != ready {
-			copies = append(copies, wire.Holding{Replica: u.record.ID, Model: held.Name, Leaving: true})
+			copies = append(copies, wire.Holding{Replica: r.record.ID, Model: held.Name, Leaving: true})
 			continue
 		}
 		for _, name := range held.Adapters {
 			if a := c.adapters[name]; a == nil || a.phase != ready {
-				copies = append(copies, wire.Holding{Replica: u.record.ID, Model: held.Name, Adapter: name, Leaving: true})
+				copies = append(copies, wire.Holding{Replica: r.record.ID, Model: held.Name, Adapter: name, Leaving: true})
 			}
 		}
 	}
-	for name, c := range u.copies {
+	for name, c := range r.copies {
 		if c.phase != ready {
 			continue
 		}
 		for adapter, a := range c.adapters {
-			if a.phase == ready && !u.record.Holds(name, adapter) {
-				copies = append(copies, wire.Holding{Replica: u.record.ID, Model: name, Adapter: adapter})
+			if a.phase == ready && !r.record.Holds(name, adapter) {
+				copies = append(copies, wire.Holding{Replica: r.record.ID, Model: name, Adapter: adapter})
 			}
 		}
 	}
-	sort.Slice(copies, func(i, j int) bool { return less(copies[i], copies[j]) })
+	sort.Slice(copies, func(i, j int) bool { return holdingLess(copies[i], copies[j]) })
 	return copies
 }
 
-func less(a, b wire.Holding) bool {
+func holdingLess(a, b wire.Holding) bool {
 	if a.Model != b.Model {
 		return a.Model < b.Model
 	}
 	return strings.Compare(a.Adapter, b.Adapter) < 0
 }
 
-func sortedIDs(units map[string]*unit) []string {
-	ids := make([]string, 0, len(units))
-	for id := range units {
+func sortedIDs(replicas map[string]*replicaState) []string {
+	ids := make([]string, 0, len(replicas))
+	for id := range replicas {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
