--- a/src/placer/plan.go
+++ b/src/placer/plan.go
@@ -52,7 +52,7 @@
 
 // planInput returns the input of the next plan.
 func (p *Placer) planInput(now time.Time, s *catalog.Service, replicas []*replicaState, b *tokenBucket) rebalance.Input {
-	in := rebalance.Input{StoreLoads: b.available() - pendingStoreLoads(replicas)}
+	in := rebalance.Input{MaxStoreLoads: b.available() - pendingStoreLoads(replicas)}
 	modelWork := p.modelWork(now, s)
 	if !p.demand.hasUsage(s.Name) {
 		modelWork = priorWork(s.Engine, replicas)
@@ -61,12 +61,12 @@
 	waited := p.modelsWaitedFor(now, s.Name)
 	for i, model := range s.Engine.Models {
 		in.Models = append(in.Models, rebalance.Model{
-			Waited:    waited[model.Name],
-			IdleFor:   p.demand.idleFor(now, modelKey{s.Name, model.Name}),
-			Name:      model.Name,
-			Footprint: model.WeightsMB,
-			Work:      modelWork[i],
-			LostFor:   p.noCopyFor(now, modelKey{s.Name, model.Name}, replicas),
+			RequestsWaited: waited[model.Name],
+			IdleFor:        p.demand.idleFor(now, modelKey{s.Name, model.Name}),
+			Name:           model.Name,
+			Footprint:      model.WeightsMB,
+			Work:           modelWork[i],
+			NoCopyFor:      p.noCopyFor(now, modelKey{s.Name, model.Name}, replicas),
 		})
 	}
 	for _, r := range replicas {
@@ -119,7 +119,7 @@
 		server.Copies = append(server.Copies, rebalance.Copy{Model: name, Phase: planPhase(r.copies[name].phase)})
 	}
 	if r.pendingLoad != "" && r.copies[r.pendingLoad] == nil {
-		server.Copies = append(server.Copies, rebalance.Copy{Model: r.pendingLoad, Phase: rebalance.Coming})
+		server.Copies = append(server.Copies, rebalance.Copy{Model: r.pendingLoad, Phase: rebalance.Pending})
 	}
 	server.LoadTime = func(model string) (time.Duration, bool) { return loadTime(e, r, model) }
 	return server
@@ -130,9 +130,9 @@
 	case ready:
 		return rebalance.Ready
 	case loading:
-		return rebalance.Coming
+		return rebalance.Pending
 	}
-	return rebalance.Going
+	return rebalance.Unloading
 }
 
 // loadTime returns how long a replica takes to load a model, and whether it loads it from the
--- a/src/rebalance/input.go
+++ b/src/rebalance/input.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// Model is what a plan knows of one model.
+// Model describes a model to a plan.
 type Model struct {
 	Name string
-	// Footprint is the room that a copy takes, in megabytes.
+	// Footprint is the memory that a copy takes, in megabytes.
 	Footprint float64
-	// Work is the expected work of all its requests, in parts of one server.
+	// Work is the expected work of all requests for the model, as a fraction of one server.
 	Work float64
-	// LostFor is for how long it has had no copy.
-	LostFor time.Duration
-	// Waited is set if requests for it lately found no copy.
-	Waited bool
-	// IdleFor is for how long no request has asked for it, 0 if that is not known.
+	// NoCopyFor is how long the model has had no copy.
+	NoCopyFor time.Duration
+	// RequestsWaited is set if requests for the model recently found no copy.
+	RequestsWaited bool
+	// IdleFor is how long no request has asked for the model; 0 if that is not known.
 	IdleFor time.Duration
 }
 
-// Phase is where a copy stands.
+// Phase is the stage of a copy.
 type Phase uint8
 
 // The phases.
 const (
-	// Ready copies serve.
+	// Ready copies serve requests.
 	Ready Phase = iota
-	// Coming copies are being loaded, or have room made for them.
-	Coming
-	// Going copies are being unloaded or were told to go.
-	Going
+	// Pending copies are being loaded, or room is being made for them.
+	Pending
+	// Unloading copies are being unloaded, or will be.
+	Unloading
 )
 
-// Copy is one model on one server.
+// Copy is a copy of a model on a server.
 type Copy struct {
 	Model string
 	Phase Phase
 }
 
-// Server is one place for copies.
+// Server is a server that can hold copies.
 type Server struct {
 	ID   string
 	Zone string
-	// Usable servers serve; copies on others count for nothing.
+	// Usable servers serve requests. Copies on other servers are ignored.
 	Usable bool
-	// Open servers can begin a move now.
+	// Open servers can start a move now.
 	Open bool
-	// Free is the room that nothing takes, in megabytes.
+	// Free is the free memory, in megabytes.
 	Free   float64
 	Copies []Copy
-	// LoadTime returns how long a model's load takes there, and whether it needs the weight store.
+	// LoadTime returns how long the server takes to load a model, and whether it loads it from the
+	// weight store.
 	LoadTime func(model string) (time.Duration, bool)
 }
 
-// Input is all that a plan depends on.
+// Input is everything that a plan depends on.
 type Input struct {
 	Models  []Model
 	Servers []Server
-	// StoreLoads is how many loads from the weight store may be decided now.
-	StoreLoads int
+	// MaxStoreLoads is the number of loads from the weight store that the plan may contain.
+	MaxStoreLoads int
 }
 
-// Move is a decided load, with the copies on the same server that make way for it.
+// Move is a planned load, with the copies on the same server that are unloaded to make room for it.
 type Move struct {
-	// Server is the place in Input.Servers.
+	// Server is the index in Input.Servers.
 	Server int
 	Model  string
 	Drop   []string
@@ -71,6 +72,6 @@
 // Output is a plan.
 type Output struct {
 	Moves []Move
-	// Unplaced are models without a copy for which no server can make room now.
+	// Unplaced are the models without a copy for which no server can make room now.
 	Unplaced []string
 }
--- a/src/rebalance/plan.go
+++ b/src/rebalance/plan.go
@@ -6,108 +6,110 @@
 	"time"
 )
 
-// The costs of a move, in seconds of waiting for the copy.
+// The costs of a move, in seconds of load time.
 const (
-	// unloadCost is what waiting for another copy's unload costs.
+	// unloadCost is the cost of waiting for the unload of another copy.
 	unloadCost = 1.5
-	// displacedCost is what displacing the work of a whole server costs.
+	// displacedCost is the cost of displacing the work of a whole server.
 	displacedCost = 10.0
-	// crowdCost is what a server costs whose other copies carry the work of a whole one.
-	crowdCost = 4.0
-	// zoneGain is what a copy in an availability zone without one is worth.
-	zoneGain = 3.0
+	// busyServerCost is the cost of a server whose other copies have the work of a whole server.
+	busyServerCost = 4.0
+	// newZoneGain is the gain of a copy in an availability zone without one.
+	newZoneGain = 3.0
 )
 
-// The worth of copies. A model's requests wait in proportion to its work and to
-// how much of it one copy carries: work²/copies.
+// The values of copies. The requests of a model wait in proportion to its work and to the work of
+// each copy, work²/copies in total.
 const (
-	// lostGain is what the first copy of a model is worth that nobody asks for, and
-	// lostWork what it is worth for each part of a server's work that waits for it.
-	lostGain = 0.05
-	lostWork = 1.5
-	// lostAging is what each second without a copy adds: however busy the others
-	// are, a model does not stay without one, unless nobody asks for it.
-	lostAging = 0.02
-	// leastGain is what a copy must be worth at least to be loaded.
-	leastGain = 0.03
-	// steadiness is by how much a copy must be worth more than the one that makes way.
-	steadiness = 1.25
-	// idleAfter is for how long nobody must have asked for a model whose last copy makes way for a
-	// model that is waited for. It is longer than a load from the store takes, so that models that
-	// are asked for by turns keep what they were loaded for.
+	// firstCopyBase is the gain of the first copy of a model without demand; firstCopyPerWork is
+	// added for each unit of work that waits for it.
+	firstCopyBase    = 0.05
+	firstCopyPerWork = 1.5
+	// noCopyPerSecond is added for each second without a copy, so that every requested model gets a
+	// copy in the end, however busy the others are.
+	noCopyPerSecond = 0.02
+	// minGain is the least gain for which a copy is loaded.
+	minGain = 0.03
+	// evictionMargin is the least ratio of the gain of a copy to the loss of those evicted for it.
+	evictionMargin = 1.25
+	// idleAfter is how long a model must have had no requests before its last copy may be evicted
+	// for a model that requests wait for. It exceeds the time of a load from the store, so that
+	// models that are requested in turn are not evicted right after their load.
 	idleAfter = 10 * time.Second
-	// idleWork is the work up to which a model counts as idle then: more is expected soon.
-	idleWork = 0.02
-	// returnsWithin is within what time the last copy of an idle model has to be able to come back to
-	// its server, without the weight store, to make way for a further copy of a busy one.
-	returnsWithin = time.Second
-	// horizon is for how long a decision is expected to hold: a copy that takes long
-	// to come is worth less of it, while the one that makes way is gone at once.
+	// maxIdleWork is the work up to which such a model counts as idle. With more, requests are
+	// expected soon.
+	maxIdleWork = 0.02
+	// quickReloadTime is the longest load time, without the weight store, of an idle model whose
+	// last copy may be evicted for a further copy of a busy model.
+	quickReloadTime = time.Second
+	// horizon is how long a decision is expected to hold. A copy that takes long to load serves for
+	// less of that time, while the evicted copy is gone at once.
 	horizon = 10 * time.Second
 )
 
-// state is how the copies stand while moves are being decided.
+// state is the assignment of copies while moves are being planned.
 type state struct {
 	in     Input
 	models map[string]*modelState
-	// work is the work that each server's copies carry.
+	// work is the work of the copies on each server.
 	work []float64
-	// taken servers have a move in this plan.
-	taken  []bool
-	budget int
-	// scarce is set while no model has a copy to spare.
-	scarce bool
+	// hasMove is set for servers with a move in this plan.
+	hasMove        []bool
+	storeLoadsLeft int
+	// noSpareCopies is set while no model has more than one copy.
+	noSpareCopies bool
 }
 
+// modelState is a model with the copies that it has on usable servers.
 type modelState struct {
 	Model
-	// ready and all count the copies on usable servers that serve, and with those that come.
+	// ready counts the ready copies, all the ready and pending ones.
 	ready int
 	all   int
 	zones map[string]int
-	// stuck is set once no server was found for another copy.
-	stuck bool
+	// noServer is set once no server was found for another copy.
+	noServer bool
 }
 
-// share is the work that one copy carries.
-func (m *modelState) share() float64 { return m.Work / float64(max(m.all, 1)) }
+// workPerCopy is the work of one copy if all copies share it evenly.
+func (m *modelState) workPerCopy() float64 { return m.Work / float64(max(m.all, 1)) }
 
-// first is what a model's only copy is worth.
-func (m *modelState) first() float64 { return lostGain + lostWork*m.Work }
+// firstCopyValue is the value of the only copy of a model.
+func (m *modelState) firstCopyValue() float64 { return firstCopyBase + firstCopyPerWork*m.Work }
 
-// gain is what one more copy is worth.
+// gain is the value of one more copy.
 func (m *modelState) gain() float64 {
 	if m.all == 0 && m.idle() {
-		return m.first()
+		return m.firstCopyValue()
 	}
 	if m.all == 0 {
-		return m.first() + lostAging*m.LostFor.Seconds()
+		return m.firstCopyValue() + noCopyPerSecond*m.NoCopyFor.Seconds()
 	}
 	n := float64(m.all)
 	return m.Work * m.Work / (n * (n + 1))
 }
 
-// loss is what one copy less costs.
+// loss is the cost of one copy less.
 func (m *modelState) loss() float64 {
 	if m.all <= 1 {
-		return m.first()
+		return m.firstCopyValue()
 	}
 	n := float64(m.all)
 	return m.Work * m.Work / (n * (n - 1))
 }
 
-// Plan returns the next moves, those first to whose models a copy is worth most.
+// Plan returns the next moves, in decreasing order of the gain of their copies.
 func Plan(in Input) Output {
 	s := newState(in)
 	var out Output
 	for {
-		model := s.neediest()
+		model := s.highestGain()
 		if model == nil {
 			break
 		}
-		move, found := s.place(model)
+		move, found := s.bestMove(model)
 		if !found {
-			model.stuck = true
+			model.noServer = true
 			if model.all == 0 {
 				out.Unplaced = append(out.Unplaced, model.Name)
 			}
@@ -120,58 +122,59 @@
 	return out
 }
 
+// newState counts the copies of an input.
 func newState(in Input) *state {
 	s := &state{
-		in:     in,
-		models: make(map[string]*modelState, len(in.Models)),
-		work:   make([]float64, len(in.Servers)),
-		taken:  make([]bool, len(in.Servers)),
-		budget: in.StoreLoads,
+		in:             in,
+		models:         make(map[string]*modelState, len(in.Models)),
+		work:           make([]float64, len(in.Servers)),
+		hasMove:        make([]bool, len(in.Servers)),
+		storeLoadsLeft: in.MaxStoreLoads,
 	}
 	for _, model := range in.Models {
 		s.models[model.Name] = &modelState{Model: model, zones: map[string]int{}}
 	}
 	for i := range in.Servers {
-		s.count(&in.Servers[i])
+		s.countCopies(&in.Servers[i])
 	}
-	s.scarce = true
+	s.noSpareCopies = true
 	for _, model := range s.models {
-		s.scarce = s.scarce && model.all < 2
+		s.noSpareCopies = s.noSpareCopies && model.all < 2
 	}
 	for i := range in.Servers {
 		for _, held := range in.Servers[i].Copies {
-			if model := s.models[held.Model]; model != nil && held.Phase != Going {
-				s.work[i] += model.share()
+			if model := s.models[held.Model]; model != nil && held.Phase != Unloading {
+				s.work[i] += model.workPerCopy()
 			}
 		}
 	}
 	return s
 }
 
-func (s *state) count(r *Server) {
-	if !r.Usable {
+func (s *state) countCopies(srv *Server) {
+	if !srv.Usable {
 		return
 	}
-	for _, held := range r.Copies {
+	for _, held := range srv.Copies {
 		model := s.models[held.Model]
-		if model == nil || held.Phase == Going {
+		if model == nil || held.Phase == Unloading {
 			continue
 		}
 		model.all++
-		model.zones[r.Zone]++
+		model.zones[srv.Zone]++
 		if held.Phase == Ready {
 			model.ready++
 		}
 	}
 }
 
-// neediest returns the model to which another copy is worth most, nil if none is
-// worth a load or could be given one.
-func (s *state) neediest() *modelState {
+// highestGain returns the model that gains most by another copy, or nil if no model gains enough or
+// could get one.
+func (s *state) highestGain() *modelState {
 	var best *modelState
 	for i := range s.in.Models {
 		model := s.models[s.in.Models[i].Name]
-		if model.stuck || model.gain() < leastGain {
+		if model.noServer || model.gain() < minGain {
 			continue
 		}
 		if best == nil || model.gain() > best.gain() {
@@ -181,12 +184,12 @@
 	return best
 }
 
-// place finds the server where another copy costs least.
-func (s *state) place(model *modelState) (Move, bool) {
+// bestMove returns the move with the least cost that gives a model another copy.
+func (s *state) bestMove(model *modelState) (Move, bool) {
 	best, found := Move{}, false
 	bestCost := 0.0
 	for i := range s.in.Servers {
-		move, cost, possible := s.offer(model, i)
+		move, cost, possible := s.evaluateMove(model, i)
 		if possible && (!found || cost < bestCost) {
 			best, bestCost, found = move, cost, true
 		}
@@ -197,34 +200,35 @@
 	return best, found
 }
 
-// offer says what a copy on a server would cost.
-func (s *state) offer(model *modelState, at int) (Move, float64, bool) {
-	r := &s.in.Servers[at]
-	if !r.Usable || !r.Open || s.taken[at] || holds(r, model.Name) {
+// evaluateMove returns the move that loads a model on a server, and its cost. It reports false if
+// the server cannot take the copy or the evicted copies are worth too much.
+func (s *state) evaluateMove(model *modelState, at int) (Move, float64, bool) {
+	srv := &s.in.Servers[at]
+	if !srv.Usable || !srv.Open || s.hasMove[at] || holds(srv, model.Name) {
 		return Move{}, 0, false
 	}
-	wait, fromStore := r.LoadTime(model.Name)
-	if fromStore && s.budget <= 0 {
+	wait, fromStore := srv.LoadTime(model.Name)
+	if fromStore && s.storeLoadsLeft <= 0 {
 		return Move{}, 0, false
 	}
 	move := Move{Server: at, Model: model.Name}
-	cost := wait.Seconds() + s.work[at]*crowdCost
-	if model.zones[r.Zone] == 0 {
-		cost -= zoneGain
+	cost := wait.Seconds() + s.work[at]*busyServerCost
+	if model.zones[srv.Zone] == 0 {
+		cost -= newZoneGain
 	}
-	if r.Free >= model.Footprint {
+	if srv.Free >= model.Footprint {
 		return move, cost, true
 	}
-	drop, displaced, lost, enough := s.victims(model, r)
-	if !enough || model.gain()*model.lasting(wait) <= lost*steadiness {
+	drop, displaced, lost, enough := s.victims(model, srv)
+	if !enough || model.gain()*model.servingFraction(wait) <= lost*evictionMargin {
 		return Move{}, 0, false
 	}
 	move.Drop = drop
 	return move, cost + unloadCost*float64(len(drop)) + displaced*displacedCost, true
 }
 
-func holds(r *Server, model string) bool {
-	for _, held := range r.Copies {
+func holds(srv *Server, model string) bool {
+	for _, held := range srv.Copies {
 		if held.Model == model {
 			return true
 		}
@@ -232,101 +236,102 @@
 	return false
 }
 
-// victims returns the copies of a server whose going makes room and displaces
-// the least work, with what their going costs.
-func (s *state) victims(model *modelState, r *Server) (drop []string, displaced, lost float64, enough bool) {
+// victims returns the copies to evict from a server to make room for a model with the least loss,
+// with the work and the loss of these copies. It reports whether they make enough room.
+func (s *state) victims(model *modelState, srv *Server) (drop []string, displaced, lost float64, enough bool) {
 	var candidates []*modelState
-	for _, held := range r.Copies {
-		if other := s.models[held.Model]; other != nil && held.Phase == Ready && (s.spare(other, model) || other.returns(r)) {
+	for _, held := range srv.Copies {
+		if other := s.models[held.Model]; other != nil && held.Phase == Ready && (s.mayEvict(other, model) || other.reloadsQuickly(srv)) {
 			candidates = append(candidates, other)
 		}
 	}
 	sort.SliceStable(candidates, func(i, j int) bool {
 		a, b := candidates[i], candidates[j]
-		if lossA, lossB := a.lossTo(model), b.lossTo(model); lossA != lossB {
+		if lossA, lossB := a.lossFor(model), b.lossFor(model); lossA != lossB {
 			return lossA < lossB
 		}
 		return a.IdleFor > b.IdleFor
 	})
-	need := model.Footprint - r.Free
+	need := model.Footprint - srv.Free
 	for _, other := range candidates {
 		if need <= 0 {
 			break
 		}
 		need -= other.Footprint
-		displaced += other.share()
-		lost += other.lossTo(model)
+		displaced += other.workPerCopy()
+		lost += other.lossFor(model)
 		drop = append(drop, other.Name)
 	}
 	return drop, displaced, lost, need <= 0
 }
 
-// leastLasting is the part of the first copy's worth that remains however long it
-// takes: it has to come some time.
-const leastLasting = 0.2
+// minServingFraction is the least serving fraction of a model's first copy, so that it is loaded
+// some time even if its load takes very long.
+const minServingFraction = 0.2
 
-// lasting is the part of the horizon in which a copy serves that takes so long to come.
-func (m *modelState) lasting(wait time.Duration) float64 {
-	part := max(1-float64(wait)/float64(horizon), 0)
+// servingFraction is the fraction of the horizon in which a copy serves if its load takes a time.
+func (m *modelState) servingFraction(wait time.Duration) float64 {
+	fraction := max(1-float64(wait)/float64(horizon), 0)
 	if m.all == 0 {
-		part = max(part, leastLasting)
+		fraction = max(fraction, minServingFraction)
 	}
-	return part
+	return fraction
 }
 
-// idle reports whether nobody asks for a model, or is expected to.
+// idle reports whether a model has no requests and none are expected soon.
 func (m *modelState) idle() bool {
-	return m.IdleFor >= idleAfter && m.Work <= idleWork && !m.Waited
+	return m.IdleFor >= idleAfter && m.Work <= maxIdleWork && !m.RequestsWaited
 }
 
-// yieldsTo reports whether a model that nobody asks for gives its last copy up for one that requests
-// wait for, however many copies others have. It comes back when it is asked for.
+// yieldsTo reports whether an idle model's last copy may be evicted for a model that requests wait
+// for, regardless of the copies of other models. The idle model is loaded again when it is
+// requested.
 func (m *modelState) yieldsTo(model *modelState) bool {
-	return m.all == 1 && m.idle() && model.all == 0 && model.Waited
+	return m.all == 1 && m.idle() && model.all == 0 && model.RequestsWaited
 }
 
-// returns reports whether an idle model's last copy may make way on its server for a further copy of
-// a busy one, since it is back within a moment once it is asked for.
-func (m *modelState) returns(r *Server) bool {
+// reloadsQuickly reports whether an idle model's last copy may be evicted from a server for a
+// further copy of a busy model, because it can be loaded there again within a short time.
+func (m *modelState) reloadsQuickly(srv *Server) bool {
 	if m.all != 1 || !m.idle() {
 		return false
 	}
-	wait, fromStore := r.LoadTime(m.Name)
-	return !fromStore && wait <= returnsWithin
+	wait, fromStore := srv.LoadTime(m.Name)
+	return !fromStore && wait <= quickReloadTime
 }
 
-// lossTo is what one copy less costs if another model takes its place.
-func (m *modelState) lossTo(model *modelState) float64 {
+// lossFor is the cost of evicting one copy for another model.
+func (m *modelState) lossFor(model *modelState) float64 {
 	if m.yieldsTo(model) {
 		return 0
 	}
 	return m.loss()
 }
 
-// spare reports whether a copy may make way: never the last that serves, but of an idle model for one
-// that is waited for and, where there are fewer places than models, for a lost one that has more work
-// waiting.
-func (s *state) spare(other, model *modelState) bool {
+// mayEvict reports whether a copy may be evicted for a model. The last ready copy may only be
+// evicted if it belongs to an idle model and requests wait for the other model or, while no model
+// has a spare copy, if the other model has no copy and much more work.
+func (s *state) mayEvict(other, model *modelState) bool {
 	if other.ready > 1 || other.yieldsTo(model) {
 		return true
 	}
-	return s.scarce && model.all == 0 && other.all == 1 && model.first()*leastLasting > other.first()*steadiness
+	return s.noSpareCopies && model.all == 0 && other.all == 1 && model.firstCopyValue()*minServingFraction > other.firstCopyValue()*evictionMargin
 }
 
-// apply counts a move as done.
+// apply updates the state by a planned move.
 func (s *state) apply(model *modelState, move Move) {
-	r := &s.in.Servers[move.Server]
-	s.taken[move.Server] = true
-	if _, fromStore := r.LoadTime(model.Name); fromStore {
-		s.budget--
+	srv := &s.in.Servers[move.Server]
+	s.hasMove[move.Server] = true
+	if _, fromStore := srv.LoadTime(model.Name); fromStore {
+		s.storeLoadsLeft--
 	}
 	for _, name := range move.Drop {
 		other := s.models[name]
 		other.ready--
 		other.all--
-		other.zones[r.Zone]--
+		other.zones[srv.Zone]--
 	}
 	model.all++
-	model.zones[r.Zone]++
-	s.work[move.Server] += model.share()
+	model.zones[srv.Zone]++
+	s.work[move.Server] += model.workPerCopy()
 }
--- a/src/rebalance/plan_test.go
+++ b/src/rebalance/plan_test.go
@@ -12,11 +12,11 @@
 
 const footprint = 70.0
 
-// fromStore is a server's load times when it has nothing at hand.
+// fromStore is the load time on a server without cached weights.
 func fromStore(string) (time.Duration, bool) { return 9 * time.Second, true }
 
-// having returns load times with some models at hand.
-func having(models ...string) func(string) (time.Duration, bool) {
+// loadTimesWith returns the load times on a server that has the weights of some models cached.
+func loadTimesWith(models ...string) func(string) (time.Duration, bool) {
 	return func(model string) (time.Duration, bool) {
 		if slices.Contains(models, model) {
 			return 2 * time.Second, false
@@ -25,55 +25,57 @@
 	}
 }
 
-// server returns one with so many places that holds ready copies.
+// server returns a server with room for a number of copies, which holds ready copies of some
+// models.
 func server(id, zone string, places int, models ...string) Server {
-	r := Server{ID: id, Zone: zone, Usable: true, Open: true, Free: footprint * float64(places-len(models)), LoadTime: fromStore}
+	srv := Server{ID: id, Zone: zone, Usable: true, Open: true, Free: footprint * float64(places-len(models)), LoadTime: fromStore}
 	for _, model := range models {
-		r.Copies = append(r.Copies, Copy{Model: model})
+		srv.Copies = append(srv.Copies, Copy{Model: model})
 	}
-	return r
+	return srv
 }
 
 func model(name string, work float64) Model {
 	return Model{Name: name, Footprint: footprint, Work: work}
 }
 
-// TestALostModelComesByWhatWaitsForIt: before a crowded one if its own requests
-// wait, after it if nobody asks, but in the end however busy the others are.
+// TestALostModelComesByWhatWaitsForIt checks when a model without a copy gets one: before a further
+// copy of a busy model if requests wait for it, after it if there are none, but in the end however
+// busy the other models are.
 func TestALostModelComesByWhatWaitsForIt(t *testing.T) {
 	is := is.New(t)
 	in := Input{
-		Models:     []Model{model("busy", 1), model("lost", 0.6)},
-		Servers:    []Server{server("a", "x", 3, "busy"), server("b", "x", 3)},
-		StoreLoads: 1,
+		Models:        []Model{model("busy", 1), model("lost", 0.6)},
+		Servers:       []Server{server("a", "x", 3, "busy"), server("b", "x", 3)},
+		MaxStoreLoads: 1,
 	}
 	is.Equal(Plan(in).Moves[0].Model, "lost")
 	in.Models[1].Work = 0
 	is.Equal(Plan(in).Moves[0].Model, "busy")
-	in.Models[1].LostFor = time.Minute
+	in.Models[1].NoCopyFor = time.Minute
 	is.Equal(Plan(in).Moves[0].Model, "lost")
-	// With no room but at a busy model's cost it waits, and then comes.
+	// If only busy copies could be evicted, the model waits, but not for ever.
 	full := func(id string) Server { return server(id, "x", 1, "busy") }
 	in.Servers = []Server{full("a"), full("b"), full("c")}
-	in.Models[1].LostFor = 0
+	in.Models[1].NoCopyFor = 0
 	is.Equal(len(Plan(in).Moves), 0)
-	in.Models[1].LostFor = time.Minute
+	in.Models[1].NoCopyFor = time.Minute
 	is.Equal(Plan(in).Moves[0].Model, "lost")
 }
 
-func TestACopyComesWhereItsWeightsAreAtHand(t *testing.T) {
+func TestCopyIsLoadedWhereWeightsAreCached(t *testing.T) {
 	is := is.New(t)
 	b := server("b", "x", 1, "idle")
-	b.LoadTime = having("m")
+	b.LoadTime = loadTimesWith("m")
 	out := Plan(Input{
-		Models:     []Model{model("m", 1), model("idle", 0)},
-		Servers:    []Server{server("a", "x", 1, "m"), b, server("c", "x", 1, "idle")},
-		StoreLoads: 1,
+		Models:        []Model{model("m", 1), model("idle", 0)},
+		Servers:       []Server{server("a", "x", 1, "m"), b, server("c", "x", 1, "idle")},
+		MaxStoreLoads: 1,
 	})
 	is.Equal(len(out.Moves), 1)
 	is.Equal(out.Moves[0].Server, 1)
 	is.Equal(out.Moves[0].Drop, []string{"idle"})
-	// Even when the store allows no load.
+	// Cached weights are loaded even if no load from the store is allowed.
 	out = Plan(Input{
 		Models:  []Model{model("m", 1), model("idle", 0)},
 		Servers: []Server{server("a", "x", 1, "m"), b, server("c", "x", 1, "idle")},
@@ -81,96 +83,98 @@
 	is.Equal(len(out.Moves), 1)
 }
 
-func TestACopyComesToAZoneWithoutOne(t *testing.T) {
+func TestCopyIsLoadedInZoneWithoutOne(t *testing.T) {
 	is := is.New(t)
 	out := Plan(Input{
-		Models:     []Model{model("m", 1)},
-		Servers:    []Server{server("a", "x", 2, "m"), server("b", "x", 2), server("c", "y", 2)},
-		StoreLoads: 1,
+		Models:        []Model{model("m", 1)},
+		Servers:       []Server{server("a", "x", 2, "m"), server("b", "x", 2), server("c", "y", 2)},
+		MaxStoreLoads: 1,
 	})
 	is.Equal(out.Moves[0].Server, 2)
 }
 
-// TestAComingCopyCounts: what was decided is not decided again, whatever room is left.
-func TestAComingCopyCounts(t *testing.T) {
+// TestPendingCopyIsNotPlannedAgain guards against planning a copy that is already pending, even if
+// there is room for it.
+func TestPendingCopyIsNotPlannedAgain(t *testing.T) {
 	is := is.New(t)
 	b := server("b", "x", 2)
 	input := Input{
-		Models:     []Model{model("m", 0.3)},
-		Servers:    []Server{server("a", "x", 2, "m"), b, server("c", "x", 2)},
-		StoreLoads: 5,
+		Models:        []Model{model("m", 0.3)},
+		Servers:       []Server{server("a", "x", 2, "m"), b, server("c", "x", 2)},
+		MaxStoreLoads: 5,
 	}
 	is.Equal(len(Plan(input).Moves), 1)
-	input.Servers[1].Copies = append(b.Copies, Copy{Model: "m", Phase: Coming})
+	input.Servers[1].Copies = append(b.Copies, Copy{Model: "m", Phase: Pending})
 	is.Equal(len(Plan(input).Moves), 0)
 }
 
-func TestCopiesOnUnusableReplicasCountForNothing(t *testing.T) {
+func TestCopiesOnUnusableServersAreIgnored(t *testing.T) {
 	is := is.New(t)
 	a := server("a", "x", 1, "m")
 	a.Usable = false
-	out := Plan(Input{Models: []Model{model("m", 0)}, Servers: []Server{a}, StoreLoads: 1})
+	out := Plan(Input{Models: []Model{model("m", 0)}, Servers: []Server{a}, MaxStoreLoads: 1})
 	is.Equal(out.Unplaced, []string{"m"})
 }
 
-// TestAnIdleModelMakesWayForALostBusyOne where no model has a copy to spare, and
-// only there; time alone does not turn them round.
+// TestAnIdleModelMakesWayForALostBusyOne checks that an idle model's last copy is evicted for a
+// busy model without a copy only if no model has a spare copy, and that the passage of time alone
+// does not reverse this.
 func TestAnIdleModelMakesWayForALostBusyOne(t *testing.T) {
 	is := is.New(t)
 	in := Input{
-		Models:     []Model{model("busy", 2), model("idle", 0.01), model("other", 0.01)},
-		Servers:    []Server{server("a", "x", 1, "idle"), server("b", "x", 1, "other")},
-		StoreLoads: 1,
+		Models:        []Model{model("busy", 2), model("idle", 0.01), model("other", 0.01)},
+		Servers:       []Server{server("a", "x", 1, "idle"), server("b", "x", 1, "other")},
+		MaxStoreLoads: 1,
 	}
 	is.Equal(Plan(in).Moves[0].Model, "busy")
-	in.Models[0].Work, in.Models[0].LostFor = 0, time.Hour
+	in.Models[0].Work, in.Models[0].NoCopyFor = 0, time.Hour
 	is.Equal(len(Plan(in).Moves), 0)
 	in.Models[0].Work = 2
 	in.Servers = append(in.Servers, server("c", "x", 1, "other"))
-	is.Equal(Plan(in).Moves[0].Drop, []string{"other"}) // it has one to spare
+	is.Equal(Plan(in).Moves[0].Drop, []string{"other"}) // it has a spare copy
 }
 
 // drawInput draws any state of a few models on a few servers.
 func drawInput(t *rapid.T) Input {
-	in := Input{StoreLoads: rapid.IntRange(0, 4).Draw(t, "store loads")}
+	in := Input{MaxStoreLoads: rapid.IntRange(0, 4).Draw(t, "store loads")}
 	models := rapid.IntRange(1, 12).Draw(t, "models")
 	for i := range models {
 		m := model(fmt.Sprint("m", i), rapid.Float64Range(0, 4).Draw(t, "work"))
 		if rapid.Bool().Draw(t, "idle") {
 			m.Work, m.IdleFor = 0, time.Duration(rapid.IntRange(0, 60).Draw(t, "idle for"))*time.Second
 		}
-		m.Waited = rapid.Bool().Draw(t, "waited for")
+		m.RequestsWaited = rapid.Bool().Draw(t, "waited for")
 		in.Models = append(in.Models, m)
 	}
 	for i := range rapid.IntRange(1, 8).Draw(t, "servers") {
-		r := server(fmt.Sprint("r", i), fmt.Sprint("z", i%3), 3)
-		r.Usable = rapid.IntRange(0, 5).Draw(t, "usable") > 0
-		r.Open = rapid.Bool().Draw(t, "open")
+		srv := server(fmt.Sprint("r", i), fmt.Sprint("z", i%3), 3)
+		srv.Usable = rapid.IntRange(0, 5).Draw(t, "usable") > 0
+		srv.Open = rapid.Bool().Draw(t, "open")
 		for _, at := range rapid.SliceOfNDistinct(rapid.IntRange(0, models-1), 0, min(3, models), rapid.ID).Draw(t, "held") {
-			r.Copies = append(r.Copies, Copy{Model: in.Models[at].Name, Phase: Phase(rapid.IntRange(0, 2).Draw(t, "phase"))})
-			r.Free -= footprint
+			srv.Copies = append(srv.Copies, Copy{Model: in.Models[at].Name, Phase: Phase(rapid.IntRange(0, 2).Draw(t, "phase"))})
+			srv.Free -= footprint
 		}
-		r.LoadTime = having(in.Models[rapid.IntRange(0, models-1).Draw(t, "at hand")].Name)
+		srv.LoadTime = loadTimesWith(in.Models[rapid.IntRange(0, models-1).Draw(t, "at hand")].Name)
 		if quick := in.Models[rapid.IntRange(0, models-1).Draw(t, "in memory")].Name; rapid.Bool().Draw(t, "has memory") {
-			slower := r.LoadTime
-			r.LoadTime = func(model string) (time.Duration, bool) {
+			slower := srv.LoadTime
+			srv.LoadTime = func(model string) (time.Duration, bool) {
 				if model == quick {
 					return 400 * time.Millisecond, false
 				}
 				return slower(model)
 			}
 		}
-		in.Servers = append(in.Servers, r)
+		in.Servers = append(in.Servers, srv)
 	}
 	return in
 }
 
-// ready counts the serving copies of a model on usable servers.
-func ready(in Input, name string) int {
+// readyCopies counts the ready copies of a model on usable servers.
+func readyCopies(in Input, name string) int {
 	count := 0
-	for _, r := range in.Servers {
-		for _, held := range r.Copies {
-			if r.Usable && held.Model == name && held.Phase == Ready {
+	for _, srv := range in.Servers {
+		for _, held := range srv.Copies {
+			if srv.Usable && held.Model == name && held.Phase == Ready {
 				count++
 			}
 		}
@@ -178,61 +182,61 @@
 	return count
 }
 
-// find returns the model of a name.
+// find returns the model with a name.
 func find(in Input, name string) Model {
 	return in.Models[slices.IndexFunc(in.Models, func(m Model) bool { return m.Name == name })]
 }
 
-// mayGo reports whether a model's last copy may make way on a server for another one: nobody asks for
-// it, and the other one is waited for, or it is back within a second.
-func mayGo(r *Server, last, other Model) bool {
-	if last.IdleFor < 10*time.Second || last.Work > 0.02 || last.Waited {
+// lastCopyMayGo reports whether a model's last copy may be evicted from a server for another model:
+// it is idle, and requests wait for the other model or it can be loaded again within a second.
+func lastCopyMayGo(srv *Server, last, other Model) bool {
+	if last.IdleFor < 10*time.Second || last.Work > 0.02 || last.RequestsWaited {
 		return false
 	}
-	wait, fromStore := r.LoadTime(last.Name)
-	return other.Waited || !fromStore && wait <= time.Second
+	wait, fromStore := srv.LoadTime(last.Name)
+	return other.RequestsWaited || !fromStore && wait <= time.Second
 }
 
-// TestMovesKeepEveryModelAndFit: whatever the state, no move takes a model's last serving copy, but of
-// one that nobody asks for, overfills a server, or exceeds the store's bound.
+// TestMovesKeepEveryModelAndFit checks that, in any state, no move evicts a model's last ready copy
+// unless the model is idle, overfills a server or exceeds the number of store loads allowed.
 func TestMovesKeepEveryModelAndFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		left := map[string]int{}
-		scarce := newState(in).scarce
+		noSpareCopies := newState(in).noSpareCopies
 		for _, m := range in.Models {
-			left[m.Name] = ready(in, m.Name)
+			left[m.Name] = readyCopies(in, m.Name)
 		}
 		store := 0
 		for _, move := range Plan(in).Moves {
-			r := in.Servers[move.Server]
-			if !r.Usable || !r.Open || holds(&r, move.Model) {
-				t.Fatalf("a move to a server that can't take it: %+v", move)
+			srv := in.Servers[move.Server]
+			if !srv.Usable || !srv.Open || holds(&srv, move.Model) {
+				t.Fatalf("move to a server that cannot take it: %+v", move)
 			}
-			if _, needsStore := r.LoadTime(move.Model); needsStore {
+			if _, needsStore := srv.LoadTime(move.Model); needsStore {
 				store++
 			}
-			free := r.Free + footprint*float64(len(move.Drop))
+			free := srv.Free + footprint*float64(len(move.Drop))
 			if free < footprint {
 				t.Fatalf("no room for %+v", move)
 			}
 			for _, name := range move.Drop {
-				if left[name]--; left[name] < 1 && !(scarce && worthMore(in, move.Model, name)) && !mayGo(&r, find(in, name), find(in, move.Model)) {
+				if left[name]--; left[name] < 1 && !(noSpareCopies && hasMoreWork(in, move.Model, name)) && !lastCopyMayGo(&srv, find(in, name), find(in, move.Model)) {
 					t.Fatalf("%s lost its last copy", name)
 				}
 			}
 		}
-		if store > in.StoreLoads {
-			t.Fatalf("%d loads from the store, %d allowed", store, in.StoreLoads)
+		if store > in.MaxStoreLoads {
+			t.Fatalf("%d loads from the store, %d allowed", store, in.MaxStoreLoads)
 		}
 	})
 }
 
-// TestPlansComeToRest: carried out again and again with the same demand, moves end.
+// TestPlansComeToRest checks that repeated plans under the same demand come to an end.
 func TestPlansComeToRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
-		in.StoreLoads = 4
+		in.MaxStoreLoads = 4
 		for i := range in.Servers {
 			in.Servers[i].Open = true
 			for at := range in.Servers[i].Copies {
@@ -242,42 +246,42 @@
 		for range 200 {
 			moves := Plan(in).Moves
 			if len(moves) == 0 {
-				checkRest(t, in)
+				checkStable(t, in)
 				return
 			}
 			for _, move := range moves {
-				carryOut(&in.Servers[move.Server], move)
+				applyMove(&in.Servers[move.Server], move)
 			}
 		}
-		t.Fatal("the moves don't end")
+		t.Fatal("plans still contain moves after 200 rounds")
 	})
 }
 
-// checkRest holds that at rest no copy could make way for one that is worth much
-// more, nor a free place take one.
-func checkRest(t *rapid.T, in Input) {
+// checkStable checks that, when no moves are planned, no copy could be evicted for one that is
+// worth much more, and no free room could take a copy.
+func checkStable(t *rapid.T, in Input) {
 	s := newState(in)
 	for i := range in.Servers {
-		r := &in.Servers[i]
+		srv := &in.Servers[i]
 		for _, m := range s.models {
-			if !r.Usable || holds(r, m.Name) || m.gain() < leastGain {
+			if !srv.Usable || holds(srv, m.Name) || m.gain() < minGain {
 				continue
 			}
-			if r.Free >= footprint {
-				t.Fatalf("%s is worth %v more and %s has room", m.Name, m.gain(), r.ID)
+			if srv.Free >= footprint {
+				t.Fatalf("%s is worth %v more and %s has room", m.Name, m.gain(), srv.ID)
 			}
-			for _, held := range r.Copies {
-				wait, _ := r.LoadTime(m.Name)
-				if other := s.models[held.Model]; m.all > 0 && other.ready > 1 && m.gain()*m.lasting(wait) > other.loss()*steadiness {
-					t.Fatalf("%s is worth %v more on %s, where %s is worth %v", m.Name, m.gain(), r.ID, other.Name, other.loss())
+			for _, held := range srv.Copies {
+				wait, _ := srv.LoadTime(m.Name)
+				if other := s.models[held.Model]; m.all > 0 && other.ready > 1 && m.gain()*m.servingFraction(wait) > other.loss()*evictionMargin {
+					t.Fatalf("%s is worth %v more on %s, where %s is worth %v", m.Name, m.gain(), srv.ID, other.Name, other.loss())
 				}
 			}
 		}
 	}
 }
 
-// worthMore reports whether a lost model has much more work waiting than another.
-func worthMore(in Input, lost, other string) bool {
+// hasMoreWork reports whether a model without a copy has much more work waiting than another.
+func hasMoreWork(in Input, lost, other string) bool {
 	var a, b Model
 	for _, m := range in.Models {
 		if m.Name == lost {
@@ -287,42 +291,42 @@
 			b = m
 		}
 	}
-	return ready(in, lost) == 0 && a.Work > 2*b.Work
+	return readyCopies(in, lost) == 0 && a.Work > 2*b.Work
 }
 
-func carryOut(r *Server, move Move) {
-	r.Copies = slices.DeleteFunc(r.Copies, func(held Copy) bool { return slices.Contains(move.Drop, held.Model) })
-	r.Copies = append(r.Copies, Copy{Model: move.Model})
-	r.Free += footprint * float64(len(move.Drop)-1)
+// applyMove applies a move to a server as if it were executed at once.
+func applyMove(srv *Server, move Move) {
+	srv.Copies = slices.DeleteFunc(srv.Copies, func(held Copy) bool { return slices.Contains(move.Drop, held.Model) })
+	srv.Copies = append(srv.Copies, Copy{Model: move.Model})
+	srv.Free += footprint * float64(len(move.Drop)-1)
 }
 
-// TestABusyCopyMakesWayOnlyForOneThatComesSoon: while a load from the store runs,
-// the room serves nobody; weights at hand are worth a busy copy, the store is not.
-func TestABusyCopyMakesWayOnlyForOneThatComesSoon(t *testing.T) {
+// TestSlowLoadDisplacesNoBusyCopy checks that a busy copy is evicted for weights that are cached,
+// but not for a load from the store: during the load, the memory serves no requests.
+func TestSlowLoadDisplacesNoBusyCopy(t *testing.T) {
 	is := is.New(t)
 	b := server("b", "x", 1, "other")
 	in := Input{
-		Models:     []Model{model("m", 2), model("other", 1)},
-		Servers:    []Server{server("a", "x", 1, "m"), b, server("c", "x", 1, "other"), server("d", "x", 1, "other")},
-		StoreLoads: 1,
+		Models:        []Model{model("m", 2), model("other", 1)},
+		Servers:       []Server{server("a", "x", 1, "m"), b, server("c", "x", 1, "other"), server("d", "x", 1, "other")},
+		MaxStoreLoads: 1,
 	}
 	is.Equal(len(Plan(in).Moves), 0)
-	in.Servers[1].LoadTime = having("m")
+	in.Servers[1].LoadTime = loadTimesWith("m")
 	is.Equal(len(Plan(in).Moves), 1)
 	in.Servers[1].LoadTime = fromStore
 	in.Models[1].Work = 0.05 // its copies are idle now
 	is.Equal(len(Plan(in).Moves), 1)
 }
 
-// TestAnIdleLastCopyMakesWayForAModelThatIsWaitedFor
-//
-// Models that were asked for all day were never served: each place held the last copy of a model that
-// nobody asked for, and none of these made way as long as any model had two copies.
-func TestAnIdleLastCopyMakesWayForAModelThatIsWaitedFor(t *testing.T) {
+// TestIdleLastCopyIsEvictedForRequestedModel guards against models that are requested but never
+// loaded: every server was full with last copies of idle models, which were not evicted as long as
+// any model had two copies.
+func TestIdleLastCopyIsEvictedForRequestedModel(t *testing.T) {
 	is := is.New(t)
 	input := func() Input {
 		rare := model("rare", 0.03)
-		rare.Waited = true
+		rare.RequestsWaited = true
 		idle := model("idle", 0)
 		idle.IdleFor = time.Minute
 		longer := model("longer", 0)
@@ -330,18 +334,18 @@
 		asked := model("asked", 0.01)
 		asked.IdleFor = time.Second
 		return Input{
-			Models:     []Model{model("busy", 2), rare, idle, longer, asked},
-			Servers:    []Server{server("a", "x", 3, "idle", "longer", "asked"), server("b", "x", 1, "busy"), server("c", "x", 1, "busy")},
-			StoreLoads: 1,
+			Models:        []Model{model("busy", 2), rare, idle, longer, asked},
+			Servers:       []Server{server("a", "x", 3, "idle", "longer", "asked"), server("b", "x", 1, "busy"), server("c", "x", 1, "busy")},
+			MaxStoreLoads: 1,
 		}
 	}
 	is.Equal(Plan(input()).Moves, []Move{{Server: 0, Model: "rare", Drop: []string{"longer"}, Reason: Plan(input()).Moves[0].Reason}})
 	for name, change := range map[string]func(*Input){
-		"nobody waits for it":         func(in *Input) { in.Models[1].Waited = false },
-		"it has a copy":               func(in *Input) { in.Servers = append(in.Servers, server("d", "x", 1, "rare")) },
-		"the others were asked for":   func(in *Input) { in.Models[2].IdleFor, in.Models[3].IdleFor = time.Second, time.Second },
-		"it is not known of them":     func(in *Input) { in.Models[2].IdleFor, in.Models[3].IdleFor = 0, 0 },
-		"demand for them is expected": func(in *Input) { in.Models[2].Work, in.Models[3].Work = 0.5, 0.5 },
+		"no requests wait for it":   func(in *Input) { in.Models[1].RequestsWaited = false },
+		"it has a copy":             func(in *Input) { in.Servers = append(in.Servers, server("d", "x", 1, "rare")) },
+		"others requested recently": func(in *Input) { in.Models[2].IdleFor, in.Models[3].IdleFor = time.Second, time.Second },
+		"idle time not known":       func(in *Input) { in.Models[2].IdleFor, in.Models[3].IdleFor = 0, 0 },
+		"demand is expected":        func(in *Input) { in.Models[2].Work, in.Models[3].Work = 0.5, 0.5 },
 	} {
 		in := input()
 		change(&in)
@@ -353,9 +357,9 @@
 	}
 }
 
-// TestAnIdleLastCopyMakesWayForABusyModelIfItIsBackWithinAMoment: a busy model's requests shared one
-// server while the places of others held last copies of models that nobody asked for.
-func TestAnIdleLastCopyMakesWayForABusyModelIfItIsBackWithinAMoment(t *testing.T) {
+// TestIdleLastCopyIsEvictedIfItReloadsQuickly guards against a busy model left with one server
+// while the memory of others holds last copies of idle models.
+func TestIdleLastCopyIsEvictedIfItReloadsQuickly(t *testing.T) {
 	is := is.New(t)
 	idle := model("idle", 0)
 	idle.IdleFor = time.Minute
@@ -365,17 +369,17 @@
 		}
 		return 2 * time.Second, true
 	}
-	in := Input{Models: []Model{model("busy", 1), idle}, Servers: []Server{server("a", "x", 1, "busy"), server("b", "x", 1, "idle")}, StoreLoads: 1}
-	is.Equal(len(Plan(in).Moves), 0) // it would come back from the store
+	in := Input{Models: []Model{model("busy", 1), idle}, Servers: []Server{server("a", "x", 1, "busy"), server("b", "x", 1, "idle")}, MaxStoreLoads: 1}
+	is.Equal(len(Plan(in).Moves), 0) // it would have to be loaded from the store again
 	in.Servers[1].LoadTime = quick
 	is.Equal(Plan(in).Moves[0].Drop, []string{"idle"})
 	in.Models[1].IdleFor = time.Second
-	is.Equal(len(Plan(in).Moves), 0) // it was asked for lately
-	// Without a copy it takes no place from the busy one until it is asked for.
-	in.Models[1].IdleFor, in.Models[1].LostFor = time.Hour, time.Hour
+	is.Equal(len(Plan(in).Moves), 0) // requested recently
+	// Without a copy, it displaces no busy copy until it is requested.
+	in.Models[1].IdleFor, in.Models[1].NoCopyFor = time.Hour, time.Hour
 	in.Servers[1] = server("b", "x", 1, "busy")
 	in.Servers[1].LoadTime = quick
 	is.Equal(len(Plan(in).Moves), 0)
-	in.Models[1].Waited = true
+	in.Models[1].RequestsWaited = true
 	is.Equal(Plan(in).Moves[0].Model, "idle")
 }
