--- a/src/place/zone.go
+++ b/src/place/assign.go
@@ -7,13 +7,15 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// wantedZones is how many availability zones a model lives in where memory allows.
-const wantedZones = 2
+// zonesPerModel is the number of availability zones to which a model is assigned if memory allows.
+const zonesPerModel = 2
 
-// fillLimit is the share of a zone's memory that assignments may fill, so that
-// moves and version changes find room.
-const fillLimit = 0.75
+// maxFill is the fraction of a zone's memory that assignments may fill, which leaves room for moves
+// and version changes.
+const maxFill = 0.75
 
+// zoneRoom is the accelerator memory of a zone: the total, the part assigned, and the largest
+// accelerator.
 type zoneRoom struct {
 	name     string
 	capacity config.Bytes
@@ -25,10 +27,9 @@
 	return footprint <= z.largest && float64(z.used+footprint) <= float64(z.capacity)*limit
 }
 
-// Assign returns the assignments that have to change so that every model lives
-// in at least one availability zone, in two where memory allows, and the names
-// of models whose assignments are no longer needed. A zone that a model
-// lives in stays unless the selectors forbid it.
+// Assign returns the assignments that have to change so that every model is assigned to at least
+// one availability zone, to two if memory allows, and the assignments of models that no longer
+// exist. A model keeps its zones unless its selectors no longer allow them.
 func Assign(set *config.Set) (put []config.Object, remove []config.Key) {
 	rooms := zoneRooms(set)
 	wanted := map[string][]string{}
@@ -40,24 +41,25 @@
 		}
 	}
 	order := byRankAndSize(set)
-	for copies := 1; copies <= wantedZones; copies++ {
+	for copies := 1; copies <= zonesPerModel; copies++ {
 		for _, model := range order {
 			if len(wanted[model]) >= copies {
 				continue
 			}
-			limit := fillLimit
+			limit := maxFill
 			if copies == 1 {
 				limit = 1
 			}
-			if zone := emptiest(set, rooms, model, wanted[model], limit); zone != nil {
+			if zone := leastFilled(set, rooms, model, wanted[model], limit); zone != nil {
 				zone.used += set.Footprint(model)
 				wanted[model] = append(wanted[model], zone.name)
 			}
 		}
 	}
-	return changedAssignments(set, wanted), goneAssignments(set)
+	return changedAssignments(set, wanted), obsoleteAssignments(set)
 }
 
+// zoneRooms returns the memory of all zones.
 func zoneRooms(set *config.Set) map[string]*zoneRoom {
 	rooms := map[string]*zoneRoom{}
 	for _, object := range set.OfKind(config.KindPool) {
@@ -78,19 +80,21 @@
 	return rooms
 }
 
+// keptZones returns the zones of a model's assignment that still exist and are allowed.
 func keptZones(set *config.Set, rooms map[string]*zoneRoom, model string) []string {
 	var kept []string
 	for _, zone := range set.AssignedZones(model) {
-		if rooms[zone] != nil && mayLive(set, model, zone) {
+		if rooms[zone] != nil && mayAssign(set, model, zone) {
 			kept = append(kept, zone)
 		}
 	}
 	return kept
 }
 
-func mayLive(set *config.Set, model, zone string) bool {
-	allowed, limited := set.AllowedZones(model)
-	if !limited {
+// mayAssign reports whether a model's selectors allow a zone.
+func mayAssign(set *config.Set, model, zone string) bool {
+	allowed, restricted := set.AllowedZones(model)
+	if !restricted {
 		return true
 	}
 	for _, name := range allowed {
@@ -101,6 +105,7 @@
 	return false
 }
 
+// byRankAndSize returns the models by decreasing rank, then by decreasing footprint.
 func byRankAndSize(set *config.Set) []string {
 	order := append([]string(nil), set.ModelNames()...)
 	ranks := map[string]int{}
@@ -119,21 +124,23 @@
 	return order
 }
 
-func emptiest(set *config.Set, rooms map[string]*zoneRoom, model string, taken []string, limit float64) *zoneRoom {
+// leastFilled returns the least filled zone to which a model can be assigned, nil if there is none.
+func leastFilled(set *config.Set, rooms map[string]*zoneRoom, model string, taken []string, limit float64) *zoneRoom {
 	footprint := set.Footprint(model)
 	var best *zoneRoom
 	for _, room := range rooms {
-		if slices.Contains(taken, room.name) || !room.fits(footprint, limit) || !mayLive(set, model, room.name) {
+		if slices.Contains(taken, room.name) || !room.fits(footprint, limit) || !mayAssign(set, model, room.name) {
 			continue
 		}
-		if best == nil || emptier(room, best) {
+		if best == nil || lessFilled(room, best) {
 			best = room
 		}
 	}
 	return best
 }
 
-func emptier(a, b *zoneRoom) bool {
+// lessFilled reports whether the filled fraction of a is less than that of b.
+func lessFilled(a, b *zoneRoom) bool {
 	fillA := float64(a.used) / float64(a.capacity)
 	fillB := float64(b.used) / float64(b.capacity)
 	if fillA != fillB {
@@ -142,6 +149,7 @@
 	return a.name < b.name
 }
 
+// changedAssignments returns the wanted assignments that differ from the present ones.
 func changedAssignments(set *config.Set, wanted map[string][]string) []config.Object {
 	var changed []config.Object
 	for _, model := range set.ModelNames() {
@@ -156,12 +164,13 @@
 	return changed
 }
 
-func goneAssignments(set *config.Set) []config.Key {
-	var gone []config.Key
+// obsoleteAssignments returns the assignments of models that no longer exist.
+func obsoleteAssignments(set *config.Set) []config.Key {
+	var obsolete []config.Key
 	for _, object := range set.OfKind(config.KindAssignment) {
 		if set.Model(object.Key.Name) == nil {
-			gone = append(gone, object.Key)
+			obsolete = append(obsolete, object.Key)
 		}
 	}
-	return gone
+	return obsolete
 }
--- a/src/place/choose.go
+++ b/src/place/choose.go
@@ -6,20 +6,21 @@
 	"strconv"
 )
 
-// choose returns the accelerator for another copy: among those with room, on a
-// host without a copy, the one with the least load, then the most memory left.
-func (p *planner) choose(model *modelState) (int, string) {
+// chooseAccelerator returns the best accelerator for another copy of a model, -1 if there is none,
+// and the number of accelerators rejected for each reason. It must have room and be on an open host
+// without a copy of the model.
+func (p *planner) chooseAccelerator(model *modelState) (int, string) {
 	best := -1
 	noRoom, sameHost, apart := 0, 0, 0
-	taken := p.hostsOf(model)
+	hosts := p.hostsOf(model)
 	for i := range p.in.Accelerators {
 		switch {
 		case !p.in.Accelerators[i].Open:
-		case p.accels[i].free < model.Footprint:
+		case p.accelerators[i].free < model.Footprint:
 			noRoom++
-		case slices.Contains(taken, p.in.Accelerators[i].Host) || slices.Contains(p.accels[i].copies, model.Name) || model.leavingAt(i):
+		case slices.Contains(hosts, p.in.Accelerators[i].Host) || slices.Contains(p.accelerators[i].copies, model.Name) || model.leavingAt(i):
 			sameHost++
-		case len(model.Apart) > 0 && p.clashes(model, i):
+		case len(model.Apart) > 0 && p.violatesApart(model, i):
 			apart++
 		case best < 0 || p.better(model, i, best):
 			best = i
@@ -29,6 +30,7 @@
 	return best, rejected
 }
 
+// hostsOf returns the hosts with a copy of a model that is not stale.
 func (p *planner) hostsOf(model *modelState) []string {
 	var hosts []string
 	for _, held := range model.copies {
@@ -39,46 +41,53 @@
 	return hosts
 }
 
-func (p *planner) clashes(model *modelState, at int) bool {
-	for _, name := range p.accels[at].copies {
-		if name != model.Name && shares(model.Apart, p.models[name].Apart) {
+// violatesApart reports whether an accelerator holds a model that must not share an accelerator
+// with the given one.
+func (p *planner) violatesApart(model *modelState, at int) bool {
+	for _, name := range p.accelerators[at].copies {
+		if name != model.Name && overlap(model.Apart, p.models[name].Apart) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *planner) company(model *modelState, at int) int {
+// countTogether counts the models on an accelerator that should share one with the given model.
+func (p *planner) countTogether(model *modelState, at int) int {
 	if len(model.Together) == 0 {
 		return 0
 	}
 	count := 0
-	for _, name := range p.accels[at].copies {
-		if shares(model.Together, p.models[name].Together) {
+	for _, name := range p.accelerators[at].copies {
+		if overlap(model.Together, p.models[name].Together) {
 			count++
 		}
 	}
 	return count
 }
 
-func shares(a, b []string) bool {
-	for _, word := range a {
-		if slices.Contains(b, word) {
+// overlap reports whether two lists have an element in common.
+func overlap(a, b []string) bool {
+	for _, name := range a {
+		if slices.Contains(b, name) {
 			return true
 		}
 	}
 	return false
 }
 
+// better reports whether accelerator a is better than b for a copy of a model. The criteria are, in
+// this order: models that should share the accelerator, cached weights, the least load, the most
+// free memory.
 func (p *planner) better(model *modelState, a, b int) bool {
-	if togetherA, togetherB := p.company(model, a), p.company(model, b); togetherA != togetherB {
+	if togetherA, togetherB := p.countTogether(model, a), p.countTogether(model, b); togetherA != togetherB {
 		return togetherA > togetherB
 	}
 	if cachedA, cachedB := p.in.Accelerators[a].Cached[model.Name], p.in.Accelerators[b].Cached[model.Name]; cachedA != cachedB {
 		return cachedA
 	}
-	if p.accels[a].load != p.accels[b].load {
-		return p.accels[a].load < p.accels[b].load
+	if p.accelerators[a].load != p.accelerators[b].load {
+		return p.accelerators[a].load < p.accelerators[b].load
 	}
-	return p.accels[a].free > p.accels[b].free
+	return p.accelerators[a].free > p.accelerators[b].free
 }
--- a/src/place/doc.go
+++ b/src/place/doc.go
@@ -1,4 +1,4 @@
-// Package place decides where models sit: which availability zones a model
-// lives in, and which accelerators of a zone hold its copies. Everything in it
-// is a pure function of what it is given.
+// Package place decides where models are placed: Assign assigns models to availability zones,
+// Plan places their copies on the accelerators of one zone. All results depend on the arguments
+// alone.
 package place
--- a/src/place/plan.go
+++ b/src/place/plan.go
@@ -9,62 +9,62 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// Model is what a zone's plan must know of one model.
+// Model describes a model to the plan of a zone.
 type Model struct {
 	Name      string
 	Footprint config.Bytes
 	Rank      int
-	// Copies is the least number of ready copies that its selectors ask for.
+	// Copies is the least number of ready copies that the model's selectors ask for.
 	Copies int
-	// Demand is the mean number of its requests running at once in this zone.
+	// Demand is the mean number of concurrent requests for the model in this zone.
 	Demand float64
-	// Apart names selectors of which no two models may share an accelerator.
+	// Apart names the selectors whose models must not share an accelerator.
 	Apart []string
-	// Together names selectors whose models should share accelerators.
+	// Together names the selectors whose models should share accelerators.
 	Together []string
 }
 
-// Accelerator is one place for copies.
+// Accelerator is an accelerator of a host, which can hold copies.
 type Accelerator struct {
 	Host  string
 	Index int
-	// Free is what the ledger says that nothing may take.
+	// Free is the memory that no resident copy or unsettled order takes, according to the ledger.
 	Free config.Bytes
-	// Open is false for hosts that are leaving, drained, suspect or gone.
+	// Open is false on hosts that are leaving, drained, suspect or gone.
 	Open bool
-	// Slots is how many requests it runs at once at full speed.
+	// Slots is the number of requests that run concurrently at full speed.
 	Slots int
-	// Cached names models whose weights it can load without the weight store.
+	// Cached is set for the models that can be loaded without the weight store.
 	Cached map[string]bool
 }
 
-// Copy is a model on an accelerator, named by its place in Input.Accelerators.
+// Copy is a copy of a model on an accelerator, given by its index in Input.Accelerators.
 type Copy struct {
 	Model       string
 	Accelerator int
-	// Ready is false while it is ordered or loads.
+	// Ready is false while the copy is ordered or loading.
 	Ready bool
-	// Stale marks a copy to be replaced: an old version, or one without room
-	// for its adapters. It serves until a copy that is not stale is ready.
+	// Stale marks a copy to be replaced: an old version, or one without room for its adapters. It
+	// serves until a copy that is not stale is ready.
 	Stale bool
-	// Leaving is set once its unload was decided.
+	// Leaving is set once the unload of the copy was decided.
 	Leaving bool
 }
 
-// Input is all that a plan of one availability zone depends on.
+// Input is everything that the plan of an availability zone depends on.
 type Input struct {
 	Models       []Model
 	Accelerators []Accelerator
 	Copies       []Copy
 	Weigh        config.Weigh
-	// Loads is how many loads may be started now; loads that restore
-	// reachability go before those that add copies.
+	// Loads is the number of loads that may start now. Loads for models without a copy go before
+	// those that add copies.
 	Loads int
-	// Spares asks for a second copy of every model while room is left.
+	// Spares asks for a second copy of every model while there is free memory.
 	Spares bool
 }
 
-// Action says what a step does.
+// Action is what a step does.
 type Action string
 
 // The actions.
@@ -73,7 +73,7 @@
 	ActionDrop Action = "drop"
 )
 
-// Step is one load or unload, with why.
+// Step is a planned load or unload, with the reason for it and the alternatives rejected.
 type Step struct {
 	Action      Action
 	Model       string
@@ -82,37 +82,36 @@
 	Rejected    string
 }
 
-// Output is a plan: steps in their order, and the models that have no copy and no room.
+// Output is a plan: its steps in order, and the models that have no copy and no room.
 type Output struct {
 	Steps    []Step
 	Unplaced []string
-	// Waits says that the weight store's limits kept a load back: the same input
-	// leads to more once they allow it.
-	Waits bool
+	// StoreLimited reports that the weight store's limits delayed a load, so that the same input
+	// leads to more steps once they allow it.
+	StoreLimited bool
 }
 
-// The watermarks of a copy's load, as a share of the slots it can count on.
+// The thresholds of the load of a copy or accelerator, as a fraction of its slots.
 const (
-	// addAbove asks for another copy; weighing moves waits longer.
-	addAboveAttainment = 0.70
-	addAboveMoves      = 0.90
-	// dropBelow lets a spare copy go when its memory is needed.
-	dropBelow = 0.30
+	// The utilization above which another copy is added; it is higher if moves are to be avoided.
+	maxUtilizationAttainment = 0.70
+	maxUtilizationMoves      = 0.90
+	// dropUtilization is the utilization below which a spare copy may be dropped to make room.
+	dropUtilization = 0.30
 )
 
-// Plan returns the next steps for a zone: first a copy of every model, in order
-// of rank; then the copies that demand and selectors ask for. Copies are not
-// dropped to tidy up, only to make room for one that is worth more, because a
-// copy that stays may save a load later.
+// Plan returns the next steps for a zone: first a copy of every model, in order of rank, then the
+// copies that demand and selectors ask for. Copies are only dropped to make room for copies of more
+// value, because a copy that stays may save a later load.
 func Plan(in Input) Output {
 	p := newPlanner(in)
-	p.emptyClosed()
-	p.restore()
-	p.spread()
-	return Output{Steps: p.steps, Unplaced: p.missing, Waits: p.waits}
+	p.dropReplacedCopies()
+	p.restoreModels()
+	p.addCopies()
+	return Output{Steps: p.steps, Unplaced: p.unplaced, StoreLimited: p.storeLimited}
 }
 
-// byRank returns the models that should be served first, first.
+// byRank returns the models in the order in which they are to be placed.
 func (p *planner) byRank() []*modelState {
 	order := make([]*modelState, 0, len(p.models))
 	for _, model := range p.in.Models {
@@ -131,8 +130,9 @@
 	return order
 }
 
-// emptyClosed drops copies that do not stay, once others are ready.
-func (p *planner) emptyClosed() {
+// dropReplacedCopies drops stale copies, and copies on hosts that are not open, of models with
+// other ready copies.
+func (p *planner) dropReplacedCopies() {
 	for _, model := range p.in.Models {
 		state := p.models[model.Name]
 		if p.readyCopies(state) == 0 {
@@ -146,36 +146,38 @@
 	}
 }
 
-// restore gives every model without an open copy one.
-func (p *planner) restore() {
+// restoreModels loads a copy of every model without one on an open host.
+func (p *planner) restoreModels() {
 	for _, model := range p.byRank() {
 		if p.openCopies(model) > 0 {
 			continue
 		}
 		if p.load(model, "the model has no copy on a host that stays") == noRoom && !p.makeRoom(model) {
-			p.missing = append(p.missing, model.Name)
+			p.unplaced = append(p.unplaced, model.Name)
 		}
 	}
 }
 
-// wantedCopies is how many copies demand and selectors ask for.
+// wantedCopies returns the number of copies that demand and selectors ask for.
 func (p *planner) wantedCopies(m *modelState) int {
 	wanted := max(m.Copies, 1)
 	slots := p.slots
 	if slots == 0 || m.Demand == 0 {
 		return wanted
 	}
-	forDemand := int(math.Ceil(m.Demand / (slots * p.addAbove())))
+	forDemand := int(math.Ceil(m.Demand / (slots * p.maxUtilization())))
 	return max(wanted, forDemand)
 }
 
-func (p *planner) addAbove() float64 {
+// maxUtilization returns the utilization above which another copy is added.
+func (p *planner) maxUtilization() float64 {
 	if p.in.Weigh == config.WeighMoves {
-		return addAboveMoves
+		return maxUtilizationMoves
 	}
-	return addAboveAttainment
+	return maxUtilizationAttainment
 }
 
+// meanSlots returns the mean number of slots of an accelerator.
 func (p *planner) meanSlots() float64 {
 	if len(p.in.Accelerators) == 0 {
 		return 0
@@ -187,15 +189,14 @@
 	return float64(total) / float64(len(p.in.Accelerators))
 }
 
-// spread adds copies where demand, selectors or crowded accelerators ask for
-// them, then, if spares are wanted, a second copy on another host where memory is
-// left over.
-func (p *planner) spread() {
+// addCopies adds copies for demand, selectors and overloaded accelerators and then, if spares are
+// wanted, a second copy on another host while there is free memory.
+func (p *planner) addCopies() {
 	order := p.byRank()
 	for _, model := range order {
-		p.addWanted(model)
+		p.addWantedCopies(model)
 	}
-	p.relieve(order)
+	p.relieveOverloaded(order)
 	if !p.in.Spares {
 		return
 	}
@@ -206,11 +207,11 @@
 	}
 }
 
-// addWanted adds the copies that demand and selectors ask for, as far as it can now.
-func (p *planner) addWanted(model *modelState) {
+// addWantedCopies adds copies of a model until it has the wanted number, as far as possible now.
+func (p *planner) addWantedCopies(model *modelState) {
 	for p.openCopies(model) > 0 && p.openCopies(model) < p.wantedCopies(model) {
 		switch p.load(model, "demand or a selector asks for more copies") {
-		case later:
+		case deferred:
 			return
 		case noRoom:
 			p.makeRoom(model)
@@ -219,12 +220,13 @@
 	}
 }
 
-// relieve gives the busiest model of an overloaded accelerator another copy.
-func (p *planner) relieve(order []*modelState) {
+// relieveOverloaded adds copies of the models that contribute much to the load of an overloaded
+// accelerator.
+func (p *planner) relieveOverloaded(order []*modelState) {
 	for _, model := range order {
 		for _, held := range append([]heldCopy(nil), model.copies...) {
-			limit := float64(p.in.Accelerators[held.at].Slots) * p.addAbove()
-			if p.accels[held.at].load <= limit || model.share() < limit*dropBelow {
+			limit := float64(p.in.Accelerators[held.at].Slots) * p.maxUtilization()
+			if p.accelerators[held.at].load <= limit || model.share() < limit*dropUtilization {
 				continue
 			}
 			if p.load(model, "its accelerator is crowded") == loaded {
@@ -234,48 +236,50 @@
 	}
 }
 
-// verdict is how a wish for another copy came out.
-type verdict uint8
+// loadResult is the result of planning a load.
+type loadResult uint8
 
 const (
 	// loaded means that a step was added.
-	loaded verdict = iota
-	// later means that the weight store's limits allow no load now.
-	later
-	// noRoom means that no accelerator can take the copy as things are.
+	loaded loadResult = iota
+	// deferred means that the weight store's limits allow no load now.
+	deferred
+	// noRoom means that no accelerator can take the copy without evicting others.
 	noRoom
 )
 
-// load decides on another copy of a model.
-func (p *planner) load(model *modelState, reason string) verdict {
-	at, rejected := p.choose(model)
+// load plans a load of another copy of a model.
+func (p *planner) load(model *modelState, reason string) loadResult {
+	at, rejected := p.chooseAccelerator(model)
 	if at < 0 {
 		return noRoom
 	}
 	cached := p.in.Accelerators[at].Cached[model.Name]
-	if !cached && p.budget <= 0 {
-		p.waits = true
-		return later
+	if !cached && p.loadsLeft <= 0 {
+		p.storeLimited = true
+		return deferred
 	}
 	if !cached {
-		p.budget--
+		p.loadsLeft--
 	}
 	p.place(model, at)
 	p.steps = append(p.steps, Step{Action: ActionLoad, Model: model.Name, Accelerator: at, Reason: reason, Rejected: rejected})
 	return loaded
 }
 
+// place adds a copy of a model to an accelerator.
 func (p *planner) place(model *modelState, at int) {
 	p.addLoad(model, -model.share())
 	model.copies = append(model.copies, heldCopy{at: at})
 	p.addLoad(model, model.share())
-	p.accels[at].free -= model.Footprint
-	p.accels[at].copies = append(p.accels[at].copies, model.Name)
+	p.accelerators[at].free -= model.Footprint
+	p.accelerators[at].copies = append(p.accelerators[at].copies, model.Name)
 }
 
+// addLoad adds a load to all accelerators with a copy of a model.
 func (p *planner) addLoad(model *modelState, share float64) {
 	for _, held := range model.copies {
-		p.accels[held.at].load += share
+		p.accelerators[held.at].load += share
 	}
 }
 
--- a/src/place/plan_test.go
+++ b/src/place/plan_test.go
@@ -9,8 +9,8 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// fleet returns so many hosts with one accelerator each.
-func fleet(hosts int, free config.Bytes) []Accelerator {
+// testAccelerators returns accelerators on a number of hosts with one accelerator each.
+func testAccelerators(hosts int, free config.Bytes) []Accelerator {
 	var all []Accelerator
 	for i := 0; i < hosts; i++ {
 		all = append(all, Accelerator{Host: "h" + strconv.Itoa(i), Free: free, Open: true, Slots: 8})
@@ -19,11 +19,11 @@
 }
 
 func TestPlanEndsWhenNoLoadMayStart(t *testing.T) {
-	// A model that wants more copies once made spread loop for ever when the
-	// weight store's limits allowed no load.
+	// Adding copies looped for ever when a model wanted more copies and the
+	// limits of the weight store allowed no load.
 	out := Plan(Input{
 		Models:       []Model{{Name: "m", Footprint: 1, Demand: 100}},
-		Accelerators: fleet(4, 10),
+		Accelerators: testAccelerators(4, 10),
 		Copies:       []Copy{{Model: "m", Accelerator: 0, Ready: true}},
 		Loads:        0,
 	})
@@ -35,7 +35,7 @@
 func TestPlanRestoresByRankFirst(t *testing.T) {
 	out := Plan(Input{
 		Models:       []Model{{Name: "low", Footprint: 6}, {Name: "high", Footprint: 6, Rank: 1}},
-		Accelerators: fleet(1, 10),
+		Accelerators: testAccelerators(1, 10),
 		Loads:        9,
 	})
 	is := is.New(t)
@@ -45,10 +45,10 @@
 }
 
 func TestPlanNeverDropsTheLastServingCopy(t *testing.T) {
-	// The only other copy of "a" is on a host that is leaving: it must not count.
+	// The other copy of "a" is on a leaving host and must not count.
 	in := Input{
 		Models:       []Model{{Name: "a", Footprint: 6}, {Name: "b", Footprint: 6, Rank: 1}},
-		Accelerators: fleet(2, 4),
+		Accelerators: testAccelerators(2, 4),
 		Copies:       []Copy{{Model: "a", Accelerator: 0, Ready: true}, {Model: "a", Accelerator: 1, Ready: true}},
 		Loads:        9,
 	}
@@ -56,7 +56,7 @@
 	out := Plan(in)
 	is := is.New(t)
 	for _, step := range out.Steps {
-		is.True(step.Action != ActionDrop || step.Accelerator != 0) // the copy that serves stays
+		is.True(step.Action != ActionDrop || step.Accelerator != 0) // the copy on the open host is kept
 	}
 	is.Equal(out.Unplaced, []string{"b"})
 }
@@ -64,7 +64,7 @@
 func TestPlanMakesRoomFromSpareCopies(t *testing.T) {
 	out := Plan(Input{
 		Models:       []Model{{Name: "a", Footprint: 6}, {Name: "b", Footprint: 6}},
-		Accelerators: fleet(2, 4),
+		Accelerators: testAccelerators(2, 4),
 		Copies:       []Copy{{Model: "a", Accelerator: 0, Ready: true}, {Model: "a", Accelerator: 1, Ready: true}},
 		Loads:        9,
 	})
@@ -75,11 +75,11 @@
 }
 
 func TestPlanReplacesAnOutdatedCopyInPlace(t *testing.T) {
-	// With a copy on every host, room elsewhere is of no use: one of its own has
-	// to go first, and the free memory must stay usable for others.
+	// Each host holds a copy, so that one of them has to be dropped before the new
+	// version is loaded. The free memory must remain usable for other models.
 	in := Input{
 		Models:       []Model{{Name: "a", Footprint: 6}, {Name: "b", Footprint: 6}},
-		Accelerators: fleet(2, 8),
+		Accelerators: testAccelerators(2, 8),
 		Copies:       []Copy{{Model: "a", Accelerator: 0, Ready: true, Stale: true}, {Model: "a", Accelerator: 1, Ready: true, Stale: true}},
 		Loads:        9,
 	}
@@ -92,9 +92,9 @@
 	is.Equal(out.Steps[1].Model, "b")
 }
 
-// TestAModelLeftOnLeavingHostsGetsRoom: a copy on a host that leaves must not
-// count when room is made for the model's next one.
-func TestAModelLeftOnLeavingHostsGetsRoom(t *testing.T) {
+// TestModelOnlyOnLeavingHostsGetsRoom guards against counting a copy on a leaving host when room is
+// made for the model's next copy.
+func TestModelOnlyOnLeavingHostsGetsRoom(t *testing.T) {
 	is := is.New(t)
 	in := Input{
 		Models: []Model{
--- a/src/place/room.go
+++ b/src/place/room.go
@@ -6,15 +6,14 @@
 	"sort"
 )
 
-// makeRoom drops copies that are worth less than one of this model, on the
-// accelerator where that costs least. The load follows in a later plan, when
-// the memory is known to be free.
+// makeRoom drops copies to make room for a copy of a model, on the accelerator where that costs
+// least. The copy is loaded by a later plan, when the memory is known to be free.
 func (p *planner) makeRoom(model *modelState) bool {
 	bestAt, bestCost := -1, math.Inf(1)
 	var bestVictims []*modelState
-	taken := p.hostsOf(model)
+	hosts := p.hostsOf(model)
 	for i, accelerator := range p.in.Accelerators {
-		if !accelerator.Open || slices.Contains(taken, accelerator.Host) || (len(model.Apart) > 0 && p.clashes(model, i)) {
+		if !accelerator.Open || slices.Contains(hosts, accelerator.Host) || (len(model.Apart) > 0 && p.violatesApart(model, i)) {
 			continue
 		}
 		victims, cost, enough := p.victims(model, i)
@@ -28,17 +27,18 @@
 	for _, victim := range bestVictims {
 		p.drop(victim, bestAt, "room for "+model.Name, "")
 	}
-	// The room is meant for this model: nothing else may take it in this plan.
-	p.accels[bestAt].free = 0
+	// Reserves the room for this model for the rest of the plan.
+	p.accelerators[bestAt].free = 0
 	return true
 }
 
-// victims returns the cheapest copies of an accelerator whose going makes room.
+// victims returns the copies to drop from an accelerator to make room for a model, with their cost.
+// It reports whether they make enough room.
 func (p *planner) victims(model *modelState, at int) ([]*modelState, float64, bool) {
-	need := model.Footprint - p.accels[at].free
-	if slices.Contains(p.accels[at].copies, model.Name) {
-		// An outdated copy of its own has to go first, whatever room there is.
-		if !p.spare(model, model, at) {
+	need := model.Footprint - p.accelerators[at].free
+	if slices.Contains(p.accelerators[at].copies, model.Name) {
+		// A stale copy of the model itself has to be dropped first, regardless of free memory.
+		if !p.mayDrop(model, model, at) {
 			return nil, 0, false
 		}
 		return []*modelState{model}, 1, need <= model.Footprint
@@ -47,8 +47,8 @@
 		return nil, 0, false
 	}
 	var candidates []*modelState
-	for _, name := range p.accels[at].copies {
-		if other := p.models[name]; other != model && p.spare(other, model, at) {
+	for _, name := range p.accelerators[at].copies {
+		if other := p.models[name]; other != model && p.mayDrop(other, model, at) {
 			candidates = append(candidates, other)
 		}
 	}
@@ -66,15 +66,15 @@
 	return chosen, cost, need <= 0
 }
 
-// spare reports whether another model may lose its copy on an accelerator for
-// one of this model: never its last ready one, never below what its selectors
-// ask for, and never if it would then want the copy back.
-func (p *planner) spare(other, model *modelState, at int) bool {
-	if len(other.leaving) > 0 || !other.readyAt(at) {
+// mayDrop reports whether a model's copy on an accelerator may be dropped for another model. It
+// must not be the model's last ready copy or needed by its selectors, and must not be wanted again
+// afterwards.
+func (p *planner) mayDrop(other, model *modelState, at int) bool {
+	if len(other.leaving) > 0 || !other.isReadyAt(at) {
 		return false
 	}
 	if other == model {
-		// An old version makes room for the new one as long as another copy serves.
+		// A stale copy may be dropped for the new version while another copy serves.
 		return p.servingCopies(model) > 1 && p.readyCopies(model) == 0
 	}
 	if p.readyCopies(other) < 2 {
@@ -84,17 +84,18 @@
 		return true
 	}
 	if p.openCopies(model) == 0 {
-		// Its host may come back: until then only copies that carry less make way.
+		// The hosts of the model's copies may come back, so only copies with less load are dropped.
 		return other.share() <= model.Demand
 	}
 	left := float64(len(other.copies) - 1)
 	if len(other.copies)-1 < max(other.Copies, 1) {
 		return false
 	}
-	return other.Demand/left < p.slots*p.addAbove()*dropBelow || other.share() < model.share()*dropBelow
+	return other.Demand/left < p.slots*p.maxUtilization()*dropUtilization || other.share() < model.share()*dropUtilization
 }
 
-func (m *modelState) readyAt(at int) bool {
+// isReadyAt reports whether the model has a ready copy on an accelerator.
+func (m *modelState) isReadyAt(at int) bool {
 	for _, held := range m.copies {
 		if held.at == at {
 			return held.ready
@@ -103,6 +104,7 @@
 	return false
 }
 
+// drop plans the unload of a copy from an accelerator, unless it is the model's only copy.
 func (p *planner) drop(model *modelState, at int, reason, rejected string) {
 	if len(model.copies) < 2 {
 		return
@@ -116,12 +118,12 @@
 	p.addLoad(model, -model.share())
 	model.copies = kept
 	p.addLoad(model, model.share())
-	names := p.accels[at].copies[:0:0]
-	for _, name := range p.accels[at].copies {
+	names := p.accelerators[at].copies[:0:0]
+	for _, name := range p.accelerators[at].copies {
 		if name != model.Name {
 			names = append(names, name)
 		}
 	}
-	p.accels[at].copies = names
+	p.accelerators[at].copies = names
 	p.steps = append(p.steps, Step{Action: ActionDrop, Model: model.Name, Accelerator: at, Reason: reason, Rejected: rejected})
 }
--- a/src/place/state.go
+++ b/src/place/state.go
@@ -2,21 +2,23 @@
 
 import "github.com/moorspool/moorspool/src/config"
 
+// planner is the state of a plan while its steps are being decided.
 type planner struct {
-	in      Input
-	models  map[string]*modelState
-	accels  []accelState
-	steps   []Step
-	budget  int
-	missing []string
-	waits   bool
-	slots   float64
+	in           Input
+	models       map[string]*modelState
+	accelerators []acceleratorState
+	steps        []Step
+	loadsLeft    int
+	unplaced     []string
+	storeLimited bool
+	slots        float64
 }
 
+// modelState is a model with its copies as planned so far.
 type modelState struct {
 	Model
 	copies []heldCopy
-	// leaving holds the accelerators of copies whose unload is under way.
+	// leaving are the accelerators of the copies that are being unloaded.
 	leaving []int
 }
 
@@ -30,29 +32,31 @@
 	return false
 }
 
-// heldCopy is a copy that stays as far as is decided.
+// heldCopy is a copy that is not being unloaded; at is the index of its accelerator.
 type heldCopy struct {
 	at    int
 	ready bool
 	stale bool
 }
 
-type accelState struct {
+// acceleratorState is an accelerator with its copies as planned so far.
+type acceleratorState struct {
 	free   config.Bytes
 	load   float64
 	copies []string
 }
 
+// newPlanner returns the state before the first step.
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in:     in,
-		models: make(map[string]*modelState, len(in.Models)),
-		accels: make([]accelState, len(in.Accelerators)),
-		budget: in.Loads,
+		in:           in,
+		models:       make(map[string]*modelState, len(in.Models)),
+		accelerators: make([]acceleratorState, len(in.Accelerators)),
+		loadsLeft:    in.Loads,
 	}
 	p.slots = p.meanSlots()
 	for i, accelerator := range in.Accelerators {
-		p.accels[i].free = accelerator.Free
+		p.accelerators[i].free = accelerator.Free
 	}
 	for _, model := range in.Models {
 		p.models[model.Name] = &modelState{Model: model}
@@ -62,7 +66,7 @@
 	}
 	for _, model := range p.models {
 		for _, held := range model.copies {
-			p.accels[held.at].load += model.share()
+			p.accelerators[held.at].load += model.share()
 		}
 	}
 	return p
@@ -78,10 +82,10 @@
 		return
 	}
 	model.copies = append(model.copies, heldCopy{at: copied.Accelerator, ready: copied.Ready, stale: copied.Stale})
-	p.accels[copied.Accelerator].copies = append(p.accels[copied.Accelerator].copies, copied.Model)
+	p.accelerators[copied.Accelerator].copies = append(p.accelerators[copied.Accelerator].copies, copied.Model)
 }
 
-// share is the demand that one copy carries.
+// share is the demand of one copy if all copies share it evenly.
 func (m *modelState) share() float64 {
 	if len(m.copies) == 0 {
 		return m.Demand
@@ -89,12 +93,12 @@
 	return m.Demand / float64(len(m.copies))
 }
 
-// stays reports whether a copy is on a host that stays and need not be replaced.
+// stays reports whether a copy is on an open host and not stale.
 func (p *planner) stays(held heldCopy) bool {
 	return p.in.Accelerators[held.at].Open && !held.stale
 }
 
-// openCopies counts the copies that stay.
+// openCopies counts the copies on open hosts that are not stale.
 func (p *planner) openCopies(m *modelState) int {
 	count := 0
 	for _, held := range m.copies {
@@ -105,7 +109,7 @@
 	return count
 }
 
-// readyCopies counts the ready copies that stay.
+// readyCopies counts the ready copies on open hosts that are not stale.
 func (p *planner) readyCopies(m *modelState) int {
 	count := 0
 	for _, held := range m.copies {
@@ -116,7 +120,7 @@
 	return count
 }
 
-// servingCopies counts the ready copies on hosts that stay, stale ones too.
+// servingCopies counts the ready copies on open hosts, including stale ones.
 func (p *planner) servingCopies(m *modelState) int {
 	count := 0
 	for _, held := range m.copies {
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -21,10 +21,10 @@
 	// the placer, hundreds of times a second at 240 replicas, where a step takes 1 ms
 	// (BenchmarkStepAtSizes).
 	minStepPause = 20 * time.Millisecond
-	// stepPauseFactor is the least ratio of the pause after a step to the duration of the step,
-	// which bounds steps to a fifth of the leader's CPU time. A step visits all replicas and takes
-	// 20 ms at 3,000 of them (BenchmarkStepAtSizes); with pauses of 20 ms, steps used most of the
-	// half core of a control node and delayed consensus.
+	// stepPauseFactor is the ratio of the pause after a step to the duration of the step. Up to
+	// maxStepPause, it bounds steps to a fifth of the leader's CPU time. A step visits all replicas
+	// and takes 20 ms at 3,000 of them (BenchmarkStepAtSizes); with pauses of 20 ms, steps used
+	// most of the half core of a control node and delayed consensus.
 	stepPauseFactor = 4
 	// maxStepPause bounds that pause, so that a large installation does not delay a copy that
 	// requests wait for.
--- a/src/planner/orders.go
+++ b/src/planner/orders.go
@@ -34,7 +34,7 @@
 	in := z.Input(now)
 	out := place.Plan(in)
 	z.noteUnplaced(out.Unplaced)
-	z.waits = out.Waits
+	z.waits = out.StoreLimited
 	var orders []SendTo
 	for _, step := range out.Steps {
 		host := in.Accelerators[step.Accelerator].Host
