--- a/src/ledger/doc.go
+++ b/src/ledger/doc.go
@@ -1,4 +1,4 @@
-// Package ledger keeps account of each accelerator's memory as its planner may
-// count on it: what is resident, what was ordered, and what is in doubt. Memory
-// counts as taken until a report or a fence proves that it is free.
+// Package ledger tracks the memory of each accelerator on which a planner can rely: what is
+// resident, what was ordered and what is in doubt. Memory counts as used until a report or a
+// fence proves that it is free.
 package ledger
--- a/src/ledger/ledger.go
+++ b/src/ledger/ledger.go
@@ -8,7 +8,7 @@
 	"github.com/moorspool/moorspool/src/engine"
 )
 
-// Ledger is the account of one planner's hosts; it is not safe for concurrent use.
+// Ledger tracks the memory of a planner's hosts. It is not safe for concurrent use.
 type Ledger struct {
 	hosts map[string]*Host
 }
@@ -16,28 +16,29 @@
 // New returns an empty ledger.
 func New() *Ledger { return &Ledger{hosts: map[string]*Host{}} }
 
-// Host returns the account of a host, nil if nothing was reported of it yet.
+// Host returns the ledger of a host, nil if no report of it has arrived.
 func (l *Ledger) Host(name string) *Host { return l.hosts[name] }
 
-// Forget drops a host that left the platform's list.
+// Forget removes a host.
 func (l *Ledger) Forget(name string) { delete(l.hosts, name) }
 
-// Observe takes in a host's report; a report older than the last one is ignored.
-func (l *Ledger) Observe(report engine.Report, checks bool, now time.Time) {
+// Observe applies the report of a host, unless it is older than the last one. checksOrders says
+// whether the engine refuses orders of an older epoch.
+func (l *Ledger) Observe(report engine.Report, checksOrders bool, now time.Time) {
 	host := l.hosts[report.Host]
 	if host == nil {
-		host = &Host{name: report.Host, orders: map[orderKey]*pending{}}
+		host = &Host{name: report.Host, orders: map[orderKey]*pendingOrder{}}
 		l.hosts[report.Host] = host
 	}
-	host.observe(report, checks, now)
+	host.observe(report, checksOrders, now)
 }
 
-// InDoubt returns the number of orders whose fate is not known.
+// InDoubt returns the number of orders without an answer whose outcome is not known.
 func (l *Ledger) InDoubt() int {
 	count := 0
 	for _, host := range l.hosts {
 		for _, order := range host.orders {
-			if order.doubt {
+			if order.inDoubt {
 				count++
 			}
 		}
@@ -45,52 +46,53 @@
 	return count
 }
 
-// orderKey names an order over all epochs.
+// orderKey identifies an order across epochs.
 type orderKey struct {
 	epoch uint64
 	seq   uint64
 }
 
-// pending is an order that no report has settled yet.
-type pending struct {
-	order  engine.Order
-	sentAt time.Time
-	doubt  bool
+// pendingOrder is an order that no report has settled yet.
+type pendingOrder struct {
+	order   engine.Order
+	sentAt  time.Time
+	inDoubt bool
 }
 
-// Host is the account of one backend server.
+// Host is the ledger of one backend server.
 type Host struct {
-	name   string
-	report engine.Report
-	checks bool
-	seenAt time.Time
-	// since is when the present incarnation was first seen.
-	since  time.Time
-	orders map[orderKey]*pending
-	// changes counts what may alter the copies on the host.
-	changes uint64
-	known   bool
-}
-
-// UncheckedDelay is how long an order to an engine that does not check may
-// still arrive after it was sent; until then its memory stays counted.
+	name         string
+	report       engine.Report
+	checksOrders bool
+	reportedAt   time.Time
+	// incarnationSince is when the current incarnation was first seen.
+	incarnationSince time.Time
+	orders           map[orderKey]*pendingOrder
+	// changes counts events that may change the copies on the host.
+	changes  uint64
+	reported bool
+}
+
+// UncheckedDelay is how long after it was sent an order may still arrive at an engine that does not
+// check orders. The memory of the order remains reserved until then.
 const UncheckedDelay = 10 * time.Second
 
-func (h *Host) observe(report engine.Report, checks bool, now time.Time) {
-	sameRun := h.known && report.Incarnation == h.report.Incarnation
-	if sameRun && report.Seq <= h.report.Seq {
+// observe applies a report, unless it is older than the last one of the same incarnation.
+func (h *Host) observe(report engine.Report, checksOrders bool, now time.Time) {
+	sameIncarnation := h.reported && report.Incarnation == h.report.Incarnation
+	if sameIncarnation && report.Seq <= h.report.Seq {
 		return
 	}
-	if !sameRun {
-		h.since = now
+	if !sameIncarnation {
+		h.incarnationSince = now
 	}
-	if !sameRun || report.Epoch != h.report.Epoch || report.Slots != h.report.Slots || !slices.Equal(report.Copies, h.report.Copies) {
+	if !sameIncarnation || report.Epoch != h.report.Epoch || report.Slots != h.report.Slots || !slices.Equal(report.Copies, h.report.Copies) {
 		h.changes++
 	}
 	h.report = report
-	h.checks = checks
-	h.seenAt = now
-	h.known = true
+	h.checksOrders = checksOrders
+	h.reportedAt = now
+	h.reported = true
 	for key, order := range h.orders {
 		if h.settled(order, now) {
 			delete(h.orders, key)
@@ -99,42 +101,44 @@
 	}
 }
 
-// Changes returns a number that grows whenever the copies on the host, resident
-// or ordered, may have changed.
+// Changes returns a number that grows whenever the resident or ordered copies on the host may have
+// changed.
 func (h *Host) Changes() uint64 { return h.changes }
 
-// settled reports whether the present report proves what became of an order.
-func (h *Host) settled(p *pending, now time.Time) bool {
-	if h.checks {
-		return past(h.report.Epoch, h.report.LastOrder, p.order)
+// settled reports whether the last report proves the outcome of an order.
+func (h *Host) settled(pending *pendingOrder, now time.Time) bool {
+	if h.checksOrders {
+		return reached(h.report.Epoch, h.report.LastOrder, pending.order)
 	}
-	// Without a check nothing forbids a late arrival but time; what shows in the
-	// report counts there anyway.
-	if now.Sub(p.sentAt) < UncheckedDelay {
-		return !p.doubt && past(h.report.Epoch, h.report.LastOrder, p.order)
+	// If the engine does not check orders, an order may arrive late until
+	// UncheckedDelay has passed. Copies in the report are counted there in any case.
+	if now.Sub(pending.sentAt) < UncheckedDelay {
+		return !pending.inDoubt && reached(h.report.Epoch, h.report.LastOrder, pending.order)
 	}
 	return true
 }
 
-func past(epoch, seq uint64, order engine.Order) bool {
+// reached reports whether an engine that has reached an epoch and sequence can no longer execute an
+// order.
+func reached(epoch, seq uint64, order engine.Order) bool {
 	return epoch > order.Epoch || (epoch == order.Epoch && seq >= order.Seq)
 }
 
-// Report returns the newest report.
+// Report returns the last report.
 func (h *Host) Report() engine.Report { return h.report }
 
-// SeenAt returns when the newest report came.
-func (h *Host) SeenAt() time.Time { return h.seenAt }
+// ReportedAt returns when the last report arrived.
+func (h *Host) ReportedAt() time.Time { return h.reportedAt }
 
 // Accelerators returns the number of accelerators.
 func (h *Host) Accelerators() int { return len(h.report.Capacity) }
 
-// Capacity returns an accelerator's memory.
+// Capacity returns the memory of an accelerator.
 func (h *Host) Capacity(accelerator int) config.Bytes { return h.report.Capacity[accelerator] }
 
-// Free returns the memory of an accelerator that nothing may take any more: its
-// capacity less all that is resident, being loaded or unloaded, and every load
-// ordered whose fate no report has settled. It may be negative after a restart.
+// Free returns the memory of an accelerator that is certainly free: its capacity less all that is
+// resident, being loaded or being unloaded, and less every ordered load that no report has settled.
+// It may be negative after a restart.
 func (h *Host) Free(accelerator int) config.Bytes {
 	free := h.report.Capacity[accelerator]
 	for _, copied := range h.report.Copies {
@@ -150,7 +154,7 @@
 	return free
 }
 
-// resident reports whether an ordered load shows in the report, where it is counted already.
+// resident reports whether the last report lists an ordered load, which is counted there.
 func (h *Host) resident(order engine.Order) bool {
 	for _, copied := range h.report.Copies {
 		if copied.Accelerator == order.Accelerator && copied.Weights == order.Weights && copied.State != engine.CopyFailed {
@@ -160,8 +164,8 @@
 	return false
 }
 
-// Reserve counts an order before it is sent. It returns false, and counts
-// nothing, if a load does not fit beside all that is counted.
+// Reserve records an order before it is sent. It returns false, and records nothing, if a load does
+// not fit in the free memory.
 func (h *Host) Reserve(order engine.Order, now time.Time) bool {
 	if order.Accelerator < 0 || order.Accelerator >= len(h.report.Capacity) {
 		return false
@@ -169,37 +173,37 @@
 	if order.Action == engine.ActionLoad && order.Bytes > h.Free(order.Accelerator) {
 		return false
 	}
-	h.orders[orderKey{order.Epoch, order.Seq}] = &pending{order: order, sentAt: now}
+	h.orders[orderKey{order.Epoch, order.Seq}] = &pendingOrder{order: order, sentAt: now}
 	h.changes++
 	return true
 }
 
-// Refused drops an order that the engine said it did not take.
-func (h *Host) Refused(order engine.Order) {
+// Discard removes an order that the engine will not execute.
+func (h *Host) Discard(order engine.Order) {
 	delete(h.orders, orderKey{order.Epoch, order.Seq})
 	h.changes++
 }
 
-// Doubt marks an order that got no answer: it may have run, or may still.
-func (h *Host) Doubt(order engine.Order) {
-	if p := h.orders[orderKey{order.Epoch, order.Seq}]; p != nil {
-		p.doubt = true
+// MarkInDoubt marks an order without an answer: the engine may have executed it or may still do so.
+func (h *Host) MarkInDoubt(order engine.Order) {
+	if pending := h.orders[orderKey{order.Epoch, order.Seq}]; pending != nil {
+		pending.inDoubt = true
 	}
 }
 
-// NeedsFence reports whether an order has been unsettled for so long that a
-// fence should be sent to find out.
-func (h *Host) NeedsFence(now time.Time, patience time.Duration) bool {
+// NeedsFence reports whether an order has been unsettled for longer than a delay, so that a fence
+// should be sent to settle it.
+func (h *Host) NeedsFence(now time.Time, delay time.Duration) bool {
 	for _, order := range h.orders {
-		if order.order.Action != engine.ActionFence && now.Sub(order.sentAt) > patience {
+		if order.order.Action != engine.ActionFence && now.Sub(order.sentAt) > delay {
 			return true
 		}
 	}
 	return false
 }
 
-// Ordered reports whether an order about the weights on an accelerator is not settled.
-func (h *Host) Ordered(weights engine.Weights, accelerator int) bool {
+// HasOrder reports whether there is an unsettled order for weights on an accelerator.
+func (h *Host) HasOrder(weights engine.Weights, accelerator int) bool {
 	for _, order := range h.orders {
 		if order.order.Weights == weights && order.order.Accelerator == accelerator && order.order.Action != engine.ActionFence {
 			return true
@@ -208,8 +212,8 @@
 	return false
 }
 
-// Loading returns the number of loads ordered or under way.
-func (h *Host) Loading() int {
+// PendingLoads returns the number of loads that are ordered or in progress.
+func (h *Host) PendingLoads() int {
 	count := 0
 	for _, copied := range h.report.Copies {
 		if copied.State == engine.CopyLoading {
@@ -224,19 +228,18 @@
 	return count
 }
 
-// Fenced reports whether no order from before this epoch, or from before the
-// engine's last restart, can run on the host any more. Only then may memory
-// that the report shows as free be counted on: an order that an earlier planner
-// sent, or one that arrives a second time, may be under way still.
+// Fenced reports whether no order from before an epoch, or from before the engine's last restart,
+// can be executed any more. Only then can the free memory in the report be relied on: until then,
+// an order of an earlier planner or a duplicate of an order may still arrive.
 func (h *Host) Fenced(epoch uint64, now time.Time) bool {
-	if h.checks {
+	if h.checksOrders {
 		return h.report.Epoch == epoch
 	}
-	return now.Sub(h.since) >= UncheckedDelay
+	return now.Sub(h.incarnationSince) >= UncheckedDelay
 }
 
-// Pending returns the unsettled loads, for a planner that must not order them again.
-func (h *Host) Pending() []engine.Order {
+// PendingOrders returns the unsettled orders except fences, which the planner must not send again.
+func (h *Host) PendingOrders() []engine.Order {
 	var orders []engine.Order
 	for _, order := range h.orders {
 		if order.order.Action != engine.ActionFence {
--- a/src/planner/copies.go
+++ b/src/planner/copies.go
@@ -8,7 +8,7 @@
 	"github.com/moorspool/moorspool/src/ledger"
 )
 
-// copyKey names a copy of a model.
+// copyKey identifies a copy of a model.
 type copyKey struct {
 	host        string
 	accelerator int
@@ -16,15 +16,16 @@
 	version     string
 }
 
-// heldCopy is a model on an accelerator with the adapters it has there.
+// heldCopy is a copy of a model on an accelerator, with its adapters.
 type heldCopy struct {
 	key   copyKey
 	ready bool
-	// based is false for adapters whose model is neither here nor ordered.
-	based    bool
+	// hasModel is false for adapters whose model is neither resident nor ordered.
+	hasModel bool
 	adapters map[string]engine.CopyState
 }
 
+// adapterNames returns the names of the copy's adapters in order.
 func (c heldCopy) adapterNames() []string {
 	names := make([]string, 0, len(c.adapters))
 	for name := range c.adapters {
@@ -34,8 +35,8 @@
 	return names
 }
 
-// owed is the memory of the adapters that the copy should have and has not.
-func (c heldCopy) owed(set *config.Set) config.Bytes {
+// missingAdapterMemory is the memory of the configured adapters that the copy lacks.
+func (c heldCopy) missingAdapterMemory(set *config.Set) config.Bytes {
 	var sum config.Bytes
 	for _, name := range set.AdapterNames(c.key.model) {
 		if _, found := c.adapters[name]; !found {
@@ -45,20 +46,20 @@
 	return sum
 }
 
-// cachedCopies are a host's copies as they were at a count of its changes.
+// cachedCopies are the copies on a host's accelerators at a change count of its ledger.
 type cachedCopies struct {
-	account *ledger.Host
-	changes uint64
-	copies  [][]heldCopy
+	hostLedger *ledger.Host
+	changes    uint64
+	copies     [][]heldCopy
 }
 
-// copiesAt returns the copies on an accelerator, resident and ordered, in a
-// fixed order. They are worked out anew only after the host's account changed.
+// copiesAt returns the resident and ordered copies on an accelerator in a fixed order. They are
+// cached until the ledger of the host changes.
 func (z *Zone) copiesAt(hostName string, accelerator int) []heldCopy {
 	host := z.ledger.Host(hostName)
 	cached := z.copies[hostName]
-	if cached.account != host || cached.changes != host.Changes() || len(cached.copies) != host.Accelerators() {
-		cached = cachedCopies{account: host, changes: host.Changes()}
+	if cached.hostLedger != host || cached.changes != host.Changes() || len(cached.copies) != host.Accelerators() {
+		cached = cachedCopies{hostLedger: host, changes: host.Changes()}
 		for i := 0; i < host.Accelerators(); i++ {
 			cached.copies = append(cached.copies, findCopies(host, hostName, i))
 		}
@@ -67,6 +68,7 @@
 	return cached.copies[accelerator]
 }
 
+// findCopies returns the resident and ordered copies on an accelerator.
 func findCopies(host *ledger.Host, hostName string, accelerator int) []heldCopy {
 	byKey := map[copyKey]*heldCopy{}
 	get := func(w engine.Weights) *heldCopy {
@@ -85,10 +87,10 @@
 			held.adapters[copied.Weights.Adapter] = copied.State
 			continue
 		}
-		held.based = true
+		held.hasModel = true
 		held.ready = copied.State == engine.CopyReady
 	}
-	for _, order := range host.Pending() {
+	for _, order := range host.PendingOrders() {
 		if order.Accelerator != accelerator || order.Action != engine.ActionLoad {
 			continue
 		}
@@ -99,7 +101,7 @@
 			}
 			continue
 		}
-		held.based = true
+		held.hasModel = true
 	}
 	all := make([]heldCopy, 0, len(byKey))
 	for _, held := range byKey {
--- a/src/planner/input.go
+++ b/src/planner/input.go
@@ -9,7 +9,7 @@
 	"github.com/moorspool/moorspool/src/place"
 )
 
-// planKey stands for all that a plan depends on but the time.
+// planKey identifies everything that a plan depends on except the time.
 type planKey struct {
 	set     *config.Set
 	epoch   uint64
@@ -18,8 +18,9 @@
 	demand  uint64
 }
 
+// planKey returns the key of the next plan.
 func (z *Zone) planKey() planKey {
-	key := planKey{set: z.set, epoch: z.epoch, members: z.memberChanges, demand: z.demands.levels()}
+	key := planKey{set: z.set, epoch: z.epoch, members: z.stateChanges, demand: z.demandEstimates.levelHash()}
 	for name := range z.members {
 		if host := z.ledger.Host(name); host != nil {
 			key.changes += host.Changes()
@@ -36,7 +37,7 @@
 		if host == nil {
 			continue
 		}
-		open := z.members[name].state == member.Live && !z.drained[name]
+		open := z.members[name].state == member.Live && !z.drainedHosts[name]
 		for i := 0; i < host.Accelerators(); i++ {
 			all = append(all, place.Accelerator{Host: name, Index: i, Free: host.Free(i), Open: open, Slots: host.Report().Slots})
 		}
@@ -44,9 +45,9 @@
 	return all
 }
 
-// Input returns all that the next plan depends on.
+// Input returns everything that the next plan depends on.
 func (z *Zone) Input(now time.Time) place.Input {
-	in := place.Input{Spares: true, Accelerators: z.accelerators(), Weigh: z.policy.Weigh, Loads: z.loadsNow(now)}
+	in := place.Input{Spares: true, Accelerators: z.accelerators(), Weigh: z.policy.Weigh, Loads: z.allowedLoads(now)}
 	for _, model := range z.set.ModelNames() {
 		if slices.Contains(z.set.AssignedZones(model), z.name) {
 			in.Models = append(in.Models, z.model(model))
@@ -56,8 +57,9 @@
 	return in
 }
 
+// model describes a model to the plan.
 func (z *Zone) model(name string) place.Model {
-	m := place.Model{Name: name, Footprint: z.set.Footprint(name), Demand: z.demands.of(name)}
+	m := place.Model{Name: name, Footprint: z.set.Footprint(name), Demand: z.demandEstimates.demandOf(name)}
 	for _, object := range z.set.OfKind(config.KindSelector) {
 		selector := object.Selector
 		if !selector.Matches(z.set.Model(name)) {
@@ -75,40 +77,40 @@
 	return m
 }
 
-// loadsNow is how many loads the weight store's limits allow to be started.
-func (z *Zone) loadsNow(now time.Time) int {
+// allowedLoads returns how many loads the weight store's limits allow to start now.
+func (z *Zone) allowedLoads(now time.Time) int {
 	loading := 0
 	for name := range z.members {
 		if host := z.ledger.Host(name); host != nil {
-			loading += host.Loading()
+			loading += host.PendingLoads()
 		}
 	}
-	atOnce := max(int(float64(z.policy.Store.FullSpeed)*z.share), 1)
-	return max(min(atOnce-loading, int(z.store.TokensAt(now))), 0)
+	maxConcurrent := max(int(float64(z.policy.Store.FullSpeed)*z.storeShare), 1)
+	return max(min(maxConcurrent-loading, int(z.storeLimiter.TokensAt(now))), 0)
 }
 
-// addCopies fills in the copies that are resident or ordered, and takes the
-// memory that their adapters are still owed from what is free.
+// addCopies adds the resident and ordered copies to the input, and subtracts the memory reserved
+// for their missing adapters from the free memory.
 func (z *Zone) addCopies(in *place.Input) {
 	for i := range in.Accelerators {
 		accelerator := &in.Accelerators[i]
-		for _, copied := range z.copiesAt(accelerator.Host, accelerator.Index) {
-			if !copied.based {
+		for _, held := range z.copiesAt(accelerator.Host, accelerator.Index) {
+			if !held.hasModel {
 				continue
 			}
-			known := z.set.Model(copied.key.model)
-			_, draining := z.drains[copied.key]
-			owed := copied.owed(z.set)
-			stale := known == nil || known.Version != copied.key.version
-			if !draining && !stale && known != nil {
-				if owed > accelerator.Free {
-					// The adapters that were added since have no room here.
+			current := z.set.Model(held.key.model)
+			_, draining := z.drains[held.key]
+			missingAdapterMemory := held.missingAdapterMemory(z.set)
+			stale := current == nil || current.Version != held.key.version
+			if !draining && !stale && current != nil {
+				if missingAdapterMemory > accelerator.Free {
+					// There is no room for the adapters added since the copy was loaded.
 					stale = true
 				} else {
-					accelerator.Free -= owed
+					accelerator.Free -= missingAdapterMemory
 				}
 			}
-			in.Copies = append(in.Copies, place.Copy{Model: copied.key.model, Accelerator: i, Ready: copied.ready, Stale: stale, Leaving: draining})
+			in.Copies = append(in.Copies, place.Copy{Model: held.key.model, Accelerator: i, Ready: held.ready, Stale: stale, Leaving: draining})
 		}
 	}
 }
--- a/src/planner/main.go
+++ b/src/planner/main.go
@@ -21,7 +21,7 @@
 	}})
 }
 
-// run is a planner's life from its settings to its stop.
+// run runs a planner with its settings until a signal stops it.
 func run(settings option.Planner) error {
 	ctx, cancel := process.UntilSignal()
 	defer cancel()
@@ -43,7 +43,7 @@
 	}
 	follower := follow.New(settings.ControlNodes, settings.Zone, proc.Meter(), proc.Cut(), proc.Ring(), proc.Heartbeat)
 	zone := NewZone(settings.Zone, settings.StoreShare, proc.Ring())
-	// A process that starts again is another holder: it knows nothing of the orders before.
+	// A restarted process is a new holder, since it does not know the earlier orders.
 	holder := settings.Node + "/" + uuid.NewString()[:8]
 	runner = NewRunner(zone, settings.Zone, holder, settings.Control, follower, control, list, proc.Ring(), clock.Now)
 	follower.Register(proc.Mux())
--- a/src/planner/publisher.go
+++ b/src/planner/publisher.go
@@ -13,33 +13,34 @@
 
 // The publisher's times.
 const (
-	// loadsEvery is how often subscribers in the own zone get every host's load.
-	loadsEvery = 2 * time.Second
-	// reachFor is how long a subscriber counts as in reach after its last report.
-	reachFor = 7 * time.Second
+	// loadInterval is the interval at which subscribers in the same zone get the loads of hosts.
+	loadInterval = 2 * time.Second
+	// subscriberTimeout is how long a subscriber counts as reachable after its last report.
+	subscriberTimeout = 7 * time.Second
 )
 
-// Publisher streams a zone's routes to gateways and takes their reports.
+// Publisher streams the routes of a zone to gateways and receives their reports.
 type Publisher struct {
 	runner *Runner
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// takenBy holds the newest routes sequence of each subscriber in reach.
-	takenBy map[string]taken
+	// appliedBy holds the sequence of the routes that each reachable subscriber applied last.
+	appliedBy map[string]appliedSeq
 }
 
-type taken struct {
+// appliedSeq is the sequence of the routes that a subscriber applied, as of its last report.
+type appliedSeq struct {
 	epoch uint64
 	seq   uint64
 	at    time.Time
 }
 
 func newPublisher(r *Runner) *Publisher {
-	return &Publisher{runner: r, changed: make(chan struct{}), takenBy: map[string]taken{}}
+	return &Publisher{runner: r, changed: make(chan struct{}), appliedBy: map[string]appliedSeq{}}
 }
 
-// Register adds the planner's methods to a mux.
+// Register adds the planner's RPC methods to a mux.
 func (r *Runner) Register(mux *rpc.Mux) {
 	mux.Handle(wire.MethodWatchRoutes, rpc.Typed(r.publisher.watch))
 	mux.Handle(wire.MethodDemand, rpc.Typed(r.publisher.demand))
@@ -47,28 +48,30 @@
 	mux.Handle(wire.MethodPlan, rpc.Typed(r.plan))
 }
 
-func (p *Publisher) wake() {
+// notifyChanged wakes all streams.
+func (p *Publisher) notifyChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *Publisher) waitChannel() <-chan struct{} {
+// changedChannel returns a channel that is closed by the next call of notifyChanged.
+func (p *Publisher) changedChannel() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
 }
 
-// taken returns the oldest sequence of an epoch that a subscriber in reach acts
-// on, 0 if one of them still acts on an earlier epoch's routes.
-func (p *Publisher) taken(epoch uint64, now time.Time) uint64 {
+// appliedSeq returns the lowest sequence of an epoch that a reachable subscriber has applied, 0 if
+// a reachable subscriber still uses the routes of another epoch.
+func (p *Publisher) appliedSeq(epoch uint64, now time.Time) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	oldest := ^uint64(0)
-	for node, t := range p.takenBy {
-		if now.Sub(t.at) > reachFor {
-			delete(p.takenBy, node)
+	for node, t := range p.appliedBy {
+		if now.Sub(t.at) > subscriberTimeout {
+			delete(p.appliedBy, node)
 			continue
 		}
 		if t.epoch != epoch {
@@ -79,9 +82,10 @@
 	return oldest
 }
 
+// demand handles the demand report of a gateway.
 func (p *Publisher) demand(_ context.Context, _ *rpc.Peer, report wire.DemandReport) (wire.Empty, error) {
 	p.mu.Lock()
-	p.takenBy[report.Node] = taken{epoch: report.Epoch, seq: report.Taken, at: p.runner.now()}
+	p.appliedBy[report.Node] = appliedSeq{epoch: report.Epoch, seq: report.Taken, at: p.runner.now()}
 	p.mu.Unlock()
 	p.runner.mu.Lock()
 	defer p.runner.mu.Unlock()
@@ -89,6 +93,7 @@
 	return wire.Empty{}, nil
 }
 
+// watch handles a subscription to the routes.
 func (p *Publisher) watch(_ context.Context, peer *rpc.Peer, request wire.RoutesRequest) (wire.Empty, error) {
 	if peer == nil {
 		return wire.Empty{}, rpc.ErrUnreachable
@@ -97,18 +102,17 @@
 	return wire.Empty{}, nil
 }
 
-// stream sends a subscriber changed routes as they come, and to those in the
-// own zone the loads of the fullest hosts once in a while: of the others they
-// learn from the answers that they relay.
+// stream sends changed routes to a subscriber. A subscriber in the same zone also gets the loads of
+// the busiest hosts at intervals; others learn the loads from the responses that they relay.
 func (p *Publisher) stream(peer *rpc.Peer, request wire.RoutesRequest) {
 	var at position
-	near := request.Zone == p.runner.zoneName
-	loadsAt := p.runner.now()
+	sameZone := request.Zone == p.runner.zoneName
+	loadsSentAt := p.runner.now()
 	first := true
 	for {
-		changed := p.waitChannel()
+		changed := p.changedChannel()
 		now := p.runner.now()
-		withLoads := near && now.Sub(loadsAt) >= loadsEvery
+		withLoads := sameZone && now.Sub(loadsSentAt) >= loadInterval
 		p.runner.mu.Lock()
 		update := p.runner.zone.routes.since(at, withLoads)
 		p.runner.mu.Unlock()
@@ -120,7 +124,7 @@
 			at = position{epoch: update.Epoch, seq: update.Seq}
 		}
 		if withLoads {
-			loadsAt = now
+			loadsSentAt = now
 		}
 		select {
 		case <-changed:
@@ -130,6 +134,7 @@
 	}
 }
 
+// drain handles a request to drain a host or to end its drain.
 func (r *Runner) drain(_ context.Context, _ *rpc.Peer, request wire.DrainRequest) (wire.Empty, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,17 +142,17 @@
 	return wire.Empty{}, nil
 }
 
-// plan answers what the planner would do if other objects were in force.
+// plan handles a request for the plan under a changed configuration.
 func (r *Runner) plan(_ context.Context, _ *rpc.Peer, request wire.PlanRequest) (wire.PlanReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.zone.Preview(request, r.now()), nil
 }
 
-// maxPreviewLoads is the loads that a preview assumes to be allowed.
+// maxPreviewLoads is the number of loads allowed in a preview.
 const maxPreviewLoads = 1 << 20
 
-// Preview returns the steps that a changed configuration would lead to first.
+// Preview returns the first steps of the plan under a changed configuration.
 func (z *Zone) Preview(request wire.PlanRequest, now time.Time) wire.PlanReply {
 	present := z.set
 	defer func() { z.set = present }()
@@ -168,8 +173,8 @@
 	return reply
 }
 
-// withChange returns the set as it would be after a change, with the
-// availability zones that the control nodes would assign.
+// withChange returns the configuration after a change, including the assignments to availability
+// zones that the control nodes would make.
 func withChange(set *config.Set, request wire.PlanRequest) *config.Set {
 	changed := set.With(request.Put, request.Delete)
 	assign, unassign := place.Assign(changed)
--- a/src/planner/routes.go
+++ b/src/planner/routes.go
@@ -9,7 +9,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// routeTable is what gateways are told; every change has a sequence.
+// routeTable holds the routes published to gateways. Each change increments the sequence.
 type routeTable struct {
 	zone  string
 	epoch uint64
@@ -17,12 +17,14 @@
 	hosts map[string]routeEntry
 }
 
+// routeEntry is the route to a host with its load.
 type routeEntry struct {
 	route wire.HostRoute
 	load  wire.HostLoad
-	// seq is the sequence at which the route last changed.
+	// seq is the sequence of the last change of the route.
 	seq uint64
-	// changes and members are the counts at which the route was worked out.
+	// changes and members are the change counts of the ledger and the zone from which the route was
+	// computed.
 	changes uint64
 	members uint64
 }
@@ -33,22 +35,22 @@
 
 func (t *routeTable) setEpoch(epoch uint64) { t.epoch = epoch }
 
-// nextSeq is the sequence that a change made now will have.
+// nextSeq returns the sequence of the next change.
 func (t *routeTable) nextSeq() uint64 { return t.seq + 1 }
 
-// maxLoads bounds the hosts whose load is told.
-const maxLoads = 16
+// maxHostLoads bounds the number of hosts in a load update.
+const maxHostLoads = 16
 
-// position is how far a subscriber was told.
+// position is the epoch and sequence up to which a subscriber got the routes.
 type position struct {
 	epoch uint64
 	seq   uint64
 }
 
-// since returns the routes that changed after a position, and with loads the
-// hosts on which requests wait, the fullest first. A position of another epoch
-// gets everything: subscribers ignore what an older epoch says, so that what was
-// sent before this planner had its authority may not have been taken.
+// since returns the routes changed after a position and, with loads, the loads of the hosts with
+// the most waiting requests. For a position of another epoch it returns all routes: subscribers
+// ignore updates of an older epoch and may not have applied what was sent before this planner got
+// its authority.
 func (t *routeTable) since(at position, withLoads bool) wire.RoutesUpdate {
 	seq := at.seq
 	if at.epoch != t.epoch {
@@ -70,31 +72,31 @@
 		}
 	}
 	sort.SliceStable(update.Loads, func(i, j int) bool { return update.Loads[i].Waiting > update.Loads[j].Waiting })
-	update.Loads = update.Loads[:min(len(update.Loads), maxLoads)]
+	update.Loads = update.Loads[:min(len(update.Loads), maxHostLoads)]
 	return update
 }
 
-// Routes returns the routes that changed after a sequence, all for sequence 0.
+// Routes returns the routes changed after a sequence; all routes for sequence 0.
 func (z *Zone) Routes(since uint64) wire.RoutesUpdate {
 	return z.routes.since(position{epoch: z.routes.epoch, seq: since}, false)
 }
 
-// updateRoutes brings the table up to date with members, reports and drains.
+// updateRoutes updates the routes from members, reports and drains.
 func (z *Zone) updateRoutes() {
 	changed := false
 	next := z.routes.nextSeq()
 	for name, entry := range z.members {
 		known, found := z.routes.hosts[name]
-		updated := routeEntry{route: known.route, seq: known.seq, members: z.memberChanges, load: wire.HostLoad{Host: name}}
-		if account := z.ledger.Host(name); account != nil {
-			updated.changes = account.Changes()
-			updated.load.Running = account.Report().Running
-			updated.load.Waiting = account.Report().Waiting
+		updated := routeEntry{route: known.route, seq: known.seq, members: z.stateChanges, load: wire.HostLoad{Host: name}}
+		if hostLedger := z.ledger.Host(name); hostLedger != nil {
+			updated.changes = hostLedger.Changes()
+			updated.load.Running = hostLedger.Report().Running
+			updated.load.Waiting = hostLedger.Report().Waiting
 		}
 		if !found || known.changes != updated.changes || known.members != updated.members {
 			updated.route = z.hostRoute(name, entry)
 			if !found || !sameRoute(known.route, updated.route) {
-				z.noteReady(known.route, updated.route)
+				z.logReady(known.route, updated.route)
 				updated.seq = next
 				changed = true
 			}
@@ -115,7 +117,8 @@
 	}
 }
 
-func (z *Zone) noteReady(before, after wire.HostRoute) {
+// logReady adds an event for each model that has become ready on a host.
+func (z *Zone) logReady(before, after wire.HostRoute) {
 	had := map[string]bool{}
 	for _, model := range before.Models {
 		had[model.Model] = true
@@ -127,6 +130,7 @@
 	}
 }
 
+// sameRoute reports whether two routes are equal.
 func sameRoute(a, b wire.HostRoute) bool {
 	if a.State != b.State || a.Slots != b.Slots || a.Address != b.Address || len(a.Models) != len(b.Models) {
 		return false
@@ -147,6 +151,7 @@
 	return true
 }
 
+// routeStates maps the state of a member to the host state in routes.
 var routeStates = map[member.State]wire.HostState{
 	member.Joining: wire.HostSuspect,
 	member.Live:    wire.HostLive,
@@ -155,6 +160,7 @@
 	member.Gone:    wire.HostGone,
 }
 
+// hostRoute returns the route to a host with its ready models.
 func (z *Zone) hostRoute(name string, entry *hostEntry) wire.HostRoute {
 	route := wire.HostRoute{
 		Host:    name,
@@ -163,12 +169,12 @@
 		Zone:    z.name,
 		State:   routeStates[entry.member.State()],
 	}
-	account := z.ledger.Host(name)
-	if account == nil {
+	hostLedger := z.ledger.Host(name)
+	if hostLedger == nil {
 		return route
 	}
-	route.Slots = account.Report().Slots * max(account.Accelerators(), 1)
-	for i := 0; i < account.Accelerators(); i++ {
+	route.Slots = hostLedger.Report().Slots * max(hostLedger.Accelerators(), 1)
+	for i := 0; i < hostLedger.Accelerators(); i++ {
 		for _, held := range z.copiesAt(name, i) {
 			if held.ready && z.drains[held.key] == nil {
 				route.Models = append(route.Models, modelRoute(held))
@@ -179,6 +185,7 @@
 	return route
 }
 
+// modelRoute returns the route to a copy with its ready adapters.
 func modelRoute(held heldCopy) wire.ModelRoute {
 	route := wire.ModelRoute{Model: held.key.model, Version: held.key.version}
 	for _, name := range held.adapterNames() {
@@ -189,7 +196,7 @@
 	return route
 }
 
-// Status returns the zone's part of a status.
+// Status returns the zone's part of the planner status.
 func (z *Zone) Status() *wire.PlannerStatus {
 	status := &wire.PlannerStatus{
 		Epoch:    z.epoch,
--- a/src/planner/runner.go
+++ b/src/planner/runner.go
@@ -15,14 +15,14 @@
 
 // The runner's times.
 const (
-	stepEvery   = 250 * time.Millisecond
-	reportEvery = time.Second
-	listEvery   = time.Second
-	renewEvery  = time.Second
-	grantWait   = 3 * time.Second
+	stepInterval   = 250 * time.Millisecond
+	reportInterval = time.Second
+	listInterval   = time.Second
+	renewInterval  = time.Second
+	grantTimeout   = 3 * time.Second
 )
 
-// Runner carries out a zone's decisions; it is safe for concurrent use.
+// Runner executes the decisions of a zone. It is safe for concurrent use.
 type Runner struct {
 	holder    string
 	address   string
@@ -37,10 +37,12 @@
 	mu      sync.Mutex
 	zone    *Zone
 	polling map[string]bool
-	refusal string
+	// refusalReason is the reason in the last reply to a request for the authority.
+	refusalReason string
 }
 
-// NewRunner returns a runner of a zone; holder names this process for the authority.
+// NewRunner returns a runner for a zone; holder identifies this process as the holder of the zone's
+// authority.
 func NewRunner(zone *Zone, zoneName, holder, address string, follower *follow.Follower, control *engine.Control, list *discovery.Reader, ring *event.Ring, now func() time.Time) *Runner {
 	r := &Runner{
 		holder:   holder,
@@ -58,14 +60,15 @@
 	return r
 }
 
-// Run drives the zone until the context ends.
+// Run runs the zone until the context ends.
 func (r *Runner) Run(ctx context.Context) {
-	go r.every(ctx, listEvery, r.readList)
-	go r.every(ctx, renewEvery, r.renew)
+	go r.every(ctx, listInterval, r.readList)
+	go r.every(ctx, renewInterval, r.renew)
 	go r.followConfig(ctx)
-	r.every(ctx, stepEvery, r.step)
+	r.every(ctx, stepInterval, r.step)
 }
 
+// every calls a function at an interval until the context ends.
 func (r *Runner) every(ctx context.Context, period time.Duration, do func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -79,6 +82,7 @@
 	}
 }
 
+// followConfig applies each new configuration to the zone.
 func (r *Runner) followConfig(ctx context.Context) {
 	for {
 		changed := r.follower.Changed()
@@ -93,6 +97,7 @@
 	}
 }
 
+// readList applies the platform's list of hosts and starts polling new ones.
 func (r *Runner) readList(ctx context.Context) {
 	list, _, err := r.platform.Read(ctx)
 	if err != nil {
@@ -109,9 +114,9 @@
 	}
 }
 
-// poll asks one host for its report until the host is gone.
+// poll requests the reports of a host until the host is gone.
 func (r *Runner) poll(ctx context.Context, name string) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	var last engine.Report
 	for {
@@ -134,6 +139,7 @@
 	}
 }
 
+// addressOf returns the address of a host that is polled, false if the host is gone.
 func (r *Runner) addressOf(name string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,15 +151,15 @@
 	return entry.listed.Address, true
 }
 
-// renew asks the control nodes for the zone's authority. The lease counts from before
-// the question was sent.
+// renew requests the zone's authority from the control nodes. The lease starts before the request
+// is sent.
 func (r *Runner) renew(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, grantWait)
+	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	r.mu.Lock()
 	request := wire.GrantRequest{Zone: r.zoneName, Holder: r.holder, Address: r.address, Epoch: r.zone.Epoch()}
 	r.mu.Unlock()
-	asked := r.now()
+	requestedAt := r.now()
 	var reply wire.GrantReply
 	if err := r.follower.Call(ctx, wire.MethodGrant, request, &reply); err != nil {
 		return
@@ -165,73 +171,74 @@
 		if r.zone.Epoch() != reply.Epoch {
 			r.ring.Add(event.Event{Kind: event.AuthorityGranted, Zone: r.zoneName, Host: r.holder})
 		}
-		r.zone.SetAuthority(reply.Epoch, asked.Add(reply.Lease.Std()))
+		r.zone.SetAuthority(reply.Epoch, requestedAt.Add(reply.Lease.Std()))
 	case wire.Refused:
 		if r.zone.Epoch() != 0 {
 			r.zone.loseAuthority(reply.Reason)
 		}
 	}
-	r.refusal = reply.Reason
+	r.refusalReason = reply.Reason
 }
 
+// step runs a step of the zone and sends its orders.
 func (r *Runner) step(ctx context.Context) {
 	r.mu.Lock()
 	if r.follower.Set().Len() == 0 {
 		r.mu.Unlock()
 		return
 	}
-	orders := r.zone.Step(r.now(), r.publisher.taken(r.zone.Epoch(), r.now()))
+	orders := r.zone.Step(r.now(), r.publisher.appliedSeq(r.zone.Epoch(), r.now()))
 	r.mu.Unlock()
-	r.publisher.wake()
+	r.publisher.notifyChanged()
 	for host, list := range byHost(orders) {
 		go r.sendAll(ctx, host, list)
 	}
 }
 
-func byHost(orders []SendTo) map[string][]SendTo {
-	hosts := map[string][]SendTo{}
+// byHost groups orders by host.
+func byHost(orders []HostOrder) map[string][]HostOrder {
+	hosts := map[string][]HostOrder{}
 	for _, order := range orders {
 		hosts[order.Host] = append(hosts[order.Host], order)
 	}
 	return hosts
 }
 
-// sendAll sends a host's orders one after the other, so that they arrive in
-// their sequence. Whether the authority still holds is read again just before
-// each is written.
-func (r *Runner) sendAll(ctx context.Context, _ string, orders []SendTo) {
-	for _, send := range orders {
+// sendAll sends the orders of a host one after the other, so that they arrive in sequence. The
+// authority is checked right before each order is written.
+func (r *Runner) sendAll(ctx context.Context, _ string, orders []HostOrder) {
+	for _, hostOrder := range orders {
 		r.mu.Lock()
-		allowed := r.zone.MayStillSend(send, r.now())
+		allowed := r.zone.MaySend(hostOrder, r.now())
 		if !allowed {
-			r.zone.NotSent(send)
+			r.zone.NotSent(hostOrder)
 		}
 		r.mu.Unlock()
 		if !allowed {
 			continue
 		}
-		reply, err := r.control.Order(ctx, send.Address, send.Order)
+		reply, err := r.control.Order(ctx, hostOrder.Address, hostOrder.Order)
 		r.mu.Lock()
 		if err != nil {
-			r.zone.NoAnswer(send)
+			r.zone.NoAnswer(hostOrder)
 		} else {
-			r.zone.Answer(send, reply)
+			r.zone.Answer(hostOrder, reply)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// Status returns the planner's part of a status.
+// Status returns the planner status.
 func (r *Runner) Status() *wire.PlannerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	status := r.zone.Status()
-	status.Authority = r.refusal
+	status.Authority = r.refusalReason
 	if status.Epoch != 0 {
 		status.Authority = r.holder
 	}
 	return status
 }
 
-// Revision returns the revision of the configuration in force here.
+// Revision returns the revision of the configuration in force.
 func (r *Runner) Revision() config.Revision { return r.follower.Set().Revision() }
--- a/src/planner/zone.go
+++ b/src/planner/zone.go
@@ -18,114 +18,116 @@
 
 // The zone's times.
 const (
-	// drainPatience is how long an unload waits for gateways to take the route away.
-	drainPatience = 2 * time.Second
-	// fencePatience is how long an order may stay unsettled before a fence is sent.
-	fencePatience = 2 * time.Second
-	// leaseMargin is kept from the end of a lease for orders under way.
+	// drainTimeout is how long an unload waits for gateways to remove the route.
+	drainTimeout = 2 * time.Second
+	// fenceDelay is how long an order may remain unsettled before a fence is sent.
+	fenceDelay = 2 * time.Second
+	// leaseMargin is the time before the end of a lease in which engines that do not check orders
+	// get none, because an order may arrive late.
 	leaseMargin = time.Second
 )
 
-// Zone decides for one availability zone. Every method that decides takes the
-// present time; it is not safe for concurrent use.
+// Zone makes the placement decisions of one availability zone. Every method that makes decisions
+// takes the current time. It is not safe for concurrent use.
 type Zone struct {
-	name    string
-	ring    *event.Ring
-	set     *config.Set
-	ledger  *ledger.Ledger
-	members map[string]*hostEntry
-	demands *demands
-	drains  map[copyKey]*drain
-	drained map[string]bool
-	copies  map[string]cachedCopies
+	name            string
+	ring            *event.Ring
+	set             *config.Set
+	ledger          *ledger.Ledger
+	members         map[string]*hostEntry
+	demandEstimates *demandEstimates
+	drains          map[copyKey]*drain
+	drainedHosts    map[string]bool
+	copies          map[string]cachedCopies
 	// fencedAt is when each host was last sent a fence.
-	fencedAt map[string]time.Time
-	store    *rate.Limiter
-	share    float64
-	policy   config.Policy
+	fencedAt     map[string]time.Time
+	storeLimiter *rate.Limiter
+	storeShare   float64
+	policy       config.Policy
 
 	epoch    uint64
-	seq      uint64
+	orderSeq uint64
 	leaseEnd time.Time
 
-	routes   *routeTable
-	loads    uint64
-	unloads  uint64
-	unplaced []string
-	doubted  int
+	routes        *routeTable
+	loads         uint64
+	unloads       uint64
+	unplaced      []string
+	ordersInDoubt int
 
-	planned planKey
-	// waits is set while the last plan wanted more than could be ordered.
-	waits bool
-	// memberChanges counts changes of standing and of drains.
-	memberChanges uint64
+	lastPlanKey planKey
+	// replan is set if the last plan ordered something, or could not order all that was wanted.
+	replan bool
+	// stateChanges counts changes of member states and drains.
+	stateChanges uint64
 }
 
-// hostEntry is a backend server as the zone knows it.
+// hostEntry is a backend server known to the zone.
 type hostEntry struct {
 	listed discovery.Host
 	member *member.Host
 	state  member.State
 }
 
-// drain is a copy that no longer takes requests and is to be unloaded.
+// drain is a copy that gets no more requests and will be unloaded.
 type drain struct {
 	since time.Time
-	// taken is the routes sequence that gateways must have taken.
-	taken uint64
+	// appliedSeq is the sequence of the routes that gateways must have applied before the unload.
+	appliedSeq uint64
 }
 
-// NewZone returns the decider of a zone; share is its part of the weight store.
-func NewZone(name string, share float64, ring *event.Ring) *Zone {
+// NewZone returns the zone with a name; storeShare is its share of the weight store's limits.
+func NewZone(name string, storeShare float64, ring *event.Ring) *Zone {
 	z := &Zone{
-		name:     name,
-		ring:     ring,
-		set:      config.NewSet(config.Revision{}, nil),
-		ledger:   ledger.New(),
-		members:  map[string]*hostEntry{},
-		demands:  newDemands(),
-		drains:   map[copyKey]*drain{},
-		drained:  map[string]bool{},
-		copies:   map[string]cachedCopies{},
-		fencedAt: map[string]time.Time{},
-		share:    share,
-		routes:   newRouteTable(name),
+		name:            name,
+		ring:            ring,
+		set:             config.NewSet(config.Revision{}, nil),
+		ledger:          ledger.New(),
+		members:         map[string]*hostEntry{},
+		demandEstimates: newDemandEstimates(),
+		drains:          map[copyKey]*drain{},
+		drainedHosts:    map[string]bool{},
+		copies:          map[string]cachedCopies{},
+		fencedAt:        map[string]time.Time{},
+		storeShare:      storeShare,
+		routes:          newRouteTable(name),
 	}
 	z.setPolicy()
 	return z
 }
 
-// SetConfig moves to a newer configuration.
+// SetConfig applies a newer configuration.
 func (z *Zone) SetConfig(set *config.Set) {
 	z.set = set
 	z.setPolicy()
 }
 
+// setPolicy applies the policy of the configuration.
 func (z *Zone) setPolicy() {
 	policy := z.set.Policy()
-	if z.store != nil && policy == z.policy {
+	if z.storeLimiter != nil && policy == z.policy {
 		return
 	}
 	z.policy = policy
-	burst := max(int(float64(policy.Store.FullSpeed)*z.share), 1)
-	z.store = rate.NewLimiter(rate.Limit(policy.Store.LoadsPerSecond*z.share), burst)
+	burst := max(int(float64(policy.Store.FullSpeed)*z.storeShare), 1)
+	z.storeLimiter = rate.NewLimiter(rate.Limit(policy.Store.LoadsPerSecond*z.storeShare), burst)
 }
 
-// SetAuthority notes the epoch that the control nodes granted and when its lease ends.
+// SetAuthority sets the epoch granted by the control nodes and the end of its lease.
 func (z *Zone) SetAuthority(epoch uint64, leaseEnd time.Time) {
 	if epoch != z.epoch {
 		z.epoch = epoch
-		z.seq = 0
+		z.orderSeq = 0
 		z.fencedAt = map[string]time.Time{}
 		z.routes.setEpoch(epoch)
 	}
 	z.leaseEnd = leaseEnd
 }
 
-// Epoch returns the epoch that the zone commands at, 0 for none.
+// Epoch returns the epoch of the zone's authority, 0 if it has none.
 func (z *Zone) Epoch() uint64 { return z.epoch }
 
-// Listed takes in the platform's list.
+// Listed applies the platform's list of hosts.
 func (z *Zone) Listed(list discovery.List, now time.Time) {
 	listed := map[string]bool{}
 	for _, host := range list.Hosts {
@@ -148,7 +150,7 @@
 	}
 }
 
-// Reported takes in an engine's report.
+// Reported applies an engine's report.
 func (z *Zone) Reported(host string, report engine.Report, now time.Time) {
 	entry := z.members[host]
 	if entry == nil || report.Host != host {
@@ -158,89 +160,92 @@
 		z.loseAuthority("an engine has seen a newer epoch")
 	}
 	entry.member.Answered(report.Leaving, now)
-	z.ledger.Observe(report, z.checks(entry), now)
+	z.ledger.Observe(report, z.checksOrders(entry), now)
 }
 
-// Answered takes in that a plain service answered its health check.
+// Answered records that a host with a plain service answered its health check.
 func (z *Zone) Answered(host string, leaving bool, now time.Time) {
 	if entry := z.members[host]; entry != nil {
 		entry.member.Answered(leaving, now)
 	}
 }
 
+// loseAuthority gives up the zone's authority.
 func (z *Zone) loseAuthority(reason string) {
 	z.ring.Add(event.Event{Kind: event.AuthorityLost, Zone: z.name, Reason: reason})
 	z.epoch = 0
 }
 
-// checks reports whether a host's engine refuses orders of an older epoch.
-func (z *Zone) checks(entry *hostEntry) bool {
+// checksOrders reports whether the engine of a host refuses orders of an older epoch.
+func (z *Zone) checksOrders(entry *hostEntry) bool {
 	pool, _ := z.set.Get(config.Key{Kind: config.KindPool, Name: entry.listed.Pool})
 	return pool.Pool != nil && pool.Pool.ChecksOrders
 }
 
-// Demand takes in a gateway's counts.
-func (z *Zone) Demand(report wire.DemandReport) { z.demands.add(report) }
+// Demand records the demand report of a gateway.
+func (z *Zone) Demand(report wire.DemandReport) { z.demandEstimates.add(report) }
 
-// Drain empties a host, or takes that back.
+// Drain drains a host or, with undo, ends its drain.
 func (z *Zone) Drain(host string, undo bool) {
-	z.memberChanges++
+	z.stateChanges++
 	if undo {
-		delete(z.drained, host)
+		delete(z.drainedHosts, host)
 		return
 	}
-	z.drained[host] = true
+	z.drainedHosts[host] = true
 }
 
-// SendTo is an order with the host it goes to.
-type SendTo struct {
+// HostOrder is an order and the host that it is for.
+type HostOrder struct {
 	Host    string
 	Address string
 	Order   engine.Order
 }
 
-// Step lets time pass and returns the orders to send now; each is counted in
-// the ledger already. taken is the oldest routes sequence that the gateways
-// in reach act on.
-func (z *Zone) Step(now time.Time, taken uint64) []SendTo {
-	z.demands.sample(now)
-	z.tickMembers(now)
-	var orders []SendTo
+// Step updates the zone to the current time and returns the orders to send now, whose memory is
+// already reserved in the ledger. appliedSeq is the lowest sequence of routes that a reachable
+// gateway has applied.
+func (z *Zone) Step(now time.Time, appliedSeq uint64) []HostOrder {
+	z.demandEstimates.sample(now)
+	z.updateMembers(now)
+	var orders []HostOrder
 	if z.epoch != 0 {
-		orders = append(orders, z.place(now)...)
-		orders = append(orders, z.unloadDrained(now, taken)...)
-		orders = append(orders, z.fences(now)...)
+		orders = append(orders, z.planIfChanged(now)...)
+		orders = append(orders, z.unloadDrained(now, appliedSeq)...)
+		orders = append(orders, z.fenceOrders(now)...)
 	}
 	z.updateRoutes()
-	z.noteDoubt()
+	z.logInDoubt()
 	return orders
 }
 
-// place plans, if anything has changed that a plan depends on. Most steps of a
-// zone find nothing new, so that its work grows with what changes.
-func (z *Zone) place(now time.Time) []SendTo {
+// planIfChanged plans if anything that a plan depends on has changed. Most steps of a zone find no
+// changes, so that the work grows with the number of changes.
+func (z *Zone) planIfChanged(now time.Time) []HostOrder {
 	key := z.planKey()
-	if key == z.planned && !z.waits {
+	if key == z.lastPlanKey && !z.replan {
 		return nil
 	}
-	z.waits = false
-	orders := append(z.plan(now), z.adapters(now)...)
-	z.waits = z.waits || len(orders) > 0
-	z.planned = key
+	z.replan = false
+	orders := append(z.plan(now), z.adapterOrders(now)...)
+	z.replan = z.replan || len(orders) > 0
+	z.lastPlanKey = key
 	return orders
 }
 
-func (z *Zone) noteDoubt() {
-	if doubted := z.ledger.InDoubt(); doubted != z.doubted {
-		if doubted > z.doubted {
-			z.ring.Add(event.Event{Kind: event.OrderInDoubt, Zone: z.name, Reason: fmt.Sprintf("%d in doubt", doubted)})
+// logInDoubt adds an event if the number of orders in doubt has changed.
+func (z *Zone) logInDoubt() {
+	if ordersInDoubt := z.ledger.InDoubt(); ordersInDoubt != z.ordersInDoubt {
+		if ordersInDoubt > z.ordersInDoubt {
+			z.ring.Add(event.Event{Kind: event.OrderInDoubt, Zone: z.name, Reason: fmt.Sprintf("%d in doubt", ordersInDoubt)})
 		} else {
-			z.ring.Add(event.Event{Kind: event.OrderSettled, Zone: z.name, Reason: fmt.Sprintf("%d in doubt", doubted)})
+			z.ring.Add(event.Event{Kind: event.OrderSettled, Zone: z.name, Reason: fmt.Sprintf("%d in doubt", ordersInDoubt)})
 		}
-		z.doubted = doubted
+		z.ordersInDoubt = ordersInDoubt
 	}
 }
 
+// memberEvents maps the new state of a member to the kind of event for it.
 var memberEvents = map[member.State]event.Kind{
 	member.Live:    event.HostLive,
 	member.Suspect: event.HostSuspect,
@@ -248,7 +253,8 @@
 	member.Gone:    event.HostGone,
 }
 
-func (z *Zone) tickMembers(now time.Time) {
+// updateMembers updates the member states to the current time and removes members that are gone.
+func (z *Zone) updateMembers(now time.Time) {
 	for _, name := range z.hostNames() {
 		entry := z.members[name]
 		entry.member.Tick(now)
@@ -256,7 +262,7 @@
 		if state == entry.state {
 			continue
 		}
-		z.memberChanges++
+		z.stateChanges++
 		if kind, named := memberEvents[state]; named {
 			z.ring.Add(event.Event{Kind: kind, Host: name, Zone: z.name, Reason: "was " + string(entry.state)})
 		}
@@ -268,8 +274,7 @@
 	}
 }
 
-// hostNames returns the known hosts in a fixed order, so that equal inputs lead
-// to equal orders.
+// hostNames returns the known hosts in a fixed order, so that equal inputs lead to equal orders.
 func (z *Zone) hostNames() []string {
 	names := make([]string, 0, len(z.members))
 	for name := range z.members {
--- a/src/planner/zone_bench_test.go
+++ b/src/planner/zone_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// benchZone returns a zone whose hosts have eight accelerators each and hold
-// every model once, at scale 1 the letter's: 130 hosts, 1,300 models.
+// benchZone returns a zone with eight accelerators on each host, which hold every model if warm is
+// set. Scale 1 is the specified size of 130 hosts and 1,300 models.
 func benchZone(scale float64, warm bool) (*Zone, time.Time) {
 	hostCount, modelCount := int(130*scale), int(1300*scale)
 	objects := []config.Object{
@@ -48,8 +48,8 @@
 	return z, now
 }
 
-// BenchmarkPlan measures a zone's step from nothing, with one changed demand,
-// and with nothing new, at half, one and two times the letter's size.
+// BenchmarkPlan measures a step of a zone without copies and one after a change of demand, at half,
+// one and two times the specified size.
 func BenchmarkPlan(b *testing.B) {
 	for _, scale := range []float64{0.5, 1, 2} {
 		b.Run(fmt.Sprintf("from-nothing/scale=%v", scale), func(b *testing.B) {
@@ -65,7 +65,7 @@
 			z.Step(now, ^uint64(0))
 			for range b.N {
 				z.Demand(wire.DemandReport{Models: []wire.ModelDemand{{Model: "m7", Requests: 1, Busy: 900}}})
-				now = now.Add(sampleEvery)
+				now = now.Add(sampleInterval)
 				z.Step(now, ^uint64(0))
 			}
 		})
--- a/src/planner/zone_test.go
+++ b/src/planner/zone_test.go
@@ -19,13 +19,13 @@
 
 func init() { testseed.Fix() }
 
-// fakeEngine is a backend server without a process: it takes orders at once and
-// counts every order that would overcommit its memory.
+// fakeEngine simulates the engine of a backend server. It accepts orders at once and counts those
+// that would overcommit its memory.
 type fakeEngine struct {
-	report   engine.Report
-	loadTime time.Duration
-	ready    map[engine.Weights]time.Time
-	breaches int
+	report      engine.Report
+	loadTime    time.Duration
+	ready       map[engine.Weights]time.Time
+	overcommits int
 }
 
 func newFakeEngine(name string, capacity config.Bytes) *fakeEngine {
@@ -44,7 +44,7 @@
 	return sum
 }
 
-func (e *fakeEngine) take(order engine.Order, now time.Time) engine.OrderReply {
+func (e *fakeEngine) execute(order engine.Order, now time.Time) engine.OrderReply {
 	if order.Epoch < e.report.Epoch || (order.Epoch == e.report.Epoch && order.Seq <= e.report.LastOrder) {
 		return engine.OrderReply{Outcome: engine.OrderStale}
 	}
@@ -55,7 +55,7 @@
 			return engine.OrderReply{Outcome: engine.OrderTaken}
 		}
 		if e.used()+order.Bytes > e.report.Capacity[0] {
-			e.breaches++
+			e.overcommits++
 			return engine.OrderReply{Outcome: engine.OrderNoMemory}
 		}
 		e.report.Copies = append(e.report.Copies, engine.Copy{Weights: order.Weights, Bytes: order.Bytes, State: engine.CopyLoading})
@@ -99,37 +99,37 @@
 	return report
 }
 
-// restart loses all that the engine held, its memory of epochs too.
+// restart clears all that the engine holds, including the epoch that it has seen.
 func (e *fakeEngine) restart() {
 	e.report = engine.Report{Host: e.report.Host, Incarnation: e.report.Incarnation + "1", Capacity: e.report.Capacity, Slots: e.report.Slots}
 }
 
-// underWay is an order on its way to an engine.
-type underWay struct {
-	send SendTo
-	at   time.Time
-	// answered says whether the planner gets to see the reply.
+// delivery is the arrival of an order at an engine.
+type delivery struct {
+	hostOrder HostOrder
+	at        time.Time
+	// answered is set if the planner gets the reply.
 	answered bool
 }
 
-// world is a zone with its engines on virtual time.
-type world struct {
-	now     time.Time
-	zone    *Zone
-	engines map[string]*fakeEngine
-	flying  []underWay
-	// fate decides what becomes of each order.
-	fate func(SendTo) []underWay
-	// reports holds back the reports of some hosts.
+// simulation runs a zone with fake engines and a simulated clock.
+type simulation struct {
+	now      time.Time
+	zone     *Zone
+	engines  map[string]*fakeEngine
+	inFlight []delivery
+	// deliver returns the deliveries of an order: none if it is lost, several if it is duplicated.
+	deliver func(HostOrder) []delivery
+	// silent is set for hosts whose reports are lost.
 	silent map[string]bool
 	epoch  uint64
 }
 
-const hosts = 3
+const hostCount = 3
 
 func testConfig(version string, adapters int) *config.Set {
 	objects := []config.Object{
-		{Key: config.Key{Kind: config.KindPool, Name: "p"}, Pool: &config.Pool{Zones: []config.PoolZone{{Zone: "z", Replicas: hosts}}, Accelerators: 1, Memory: 72, ChecksOrders: true}},
+		{Key: config.Key{Kind: config.KindPool, Name: "p"}, Pool: &config.Pool{Zones: []config.PoolZone{{Zone: "z", Replicas: hostCount}}, Accelerators: 1, Memory: 72, ChecksOrders: true}},
 		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: config.WeighAttainment, Store: config.Store{LoadsPerSecond: 5, FullSpeed: 5}}},
 	}
 	for i := 0; i < 6; i++ {
@@ -144,80 +144,82 @@
 	return config.NewSet(config.Revision{Term: 1, Index: 1}, objects)
 }
 
-func newWorld(set *config.Set) *world {
-	w := &world{now: time.Unix(1_800_000_000, 0), engines: map[string]*fakeEngine{}, silent: map[string]bool{}}
-	for i := 0; i < hosts; i++ {
+func newSimulation(set *config.Set) *simulation {
+	sim := &simulation{now: time.Unix(1_800_000_000, 0), engines: map[string]*fakeEngine{}, silent: map[string]bool{}}
+	for i := 0; i < hostCount; i++ {
 		name := fmt.Sprint("h", i)
-		w.engines[name] = newFakeEngine(name, 72)
+		sim.engines[name] = newFakeEngine(name, 72)
 	}
-	w.newPlanner(set)
-	return w
+	sim.replacePlanner(set)
+	return sim
 }
 
-// newPlanner replaces the planner by one that knows nothing.
-func (w *world) newPlanner(set *config.Set) {
-	w.epoch++
-	w.zone = NewZone("z", 1, nil)
-	w.zone.SetConfig(set)
-	w.zone.SetAuthority(w.epoch, w.now.Add(time.Hour))
+// replacePlanner starts a planner without any state in a new epoch.
+func (sim *simulation) replacePlanner(set *config.Set) {
+	sim.epoch++
+	sim.zone = NewZone("z", 1, nil)
+	sim.zone.SetConfig(set)
+	sim.zone.SetAuthority(sim.epoch, sim.now.Add(time.Hour))
 	list := discovery.List{}
-	for i := 0; i < hosts; i++ {
+	for i := 0; i < hostCount; i++ {
 		list.Hosts = append(list.Hosts, discovery.Host{Name: fmt.Sprint("h", i), Pool: "p", Zone: "z"})
 	}
-	w.zone.Listed(list, w.now)
+	sim.zone.Listed(list, sim.now)
 }
 
-func (w *world) step() {
-	w.now = w.now.Add(250 * time.Millisecond)
-	for i := 0; i < hosts; i++ {
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(250 * time.Millisecond)
+	for i := 0; i < hostCount; i++ {
 		name := fmt.Sprint("h", i)
-		report := w.engines[name].tick(w.now)
-		if !w.silent[name] {
-			w.zone.Reported(name, report, w.now)
+		report := sim.engines[name].tick(sim.now)
+		if !sim.silent[name] {
+			sim.zone.Reported(name, report, sim.now)
 		}
 	}
-	for _, send := range w.zone.Step(w.now, ^uint64(0)) {
-		fates := []underWay{{send: send, at: w.now, answered: true}}
-		if w.fate != nil {
-			fates = w.fate(send)
+	for _, hostOrder := range sim.zone.Step(sim.now, ^uint64(0)) {
+		deliveries := []delivery{{hostOrder: hostOrder, at: sim.now, answered: true}}
+		if sim.deliver != nil {
+			deliveries = sim.deliver(hostOrder)
 		}
-		if len(fates) == 0 {
-			w.zone.NoAnswer(send)
+		if len(deliveries) == 0 {
+			sim.zone.NoAnswer(hostOrder)
 		}
-		w.flying = append(w.flying, fates...)
+		sim.inFlight = append(sim.inFlight, deliveries...)
 	}
-	w.land()
+	sim.deliverDue()
 }
 
-func (w *world) land() {
-	var later []underWay
-	for _, f := range w.flying {
-		if f.at.After(w.now) {
-			later = append(later, f)
+// deliverDue executes the deliveries that are due.
+func (sim *simulation) deliverDue() {
+	var later []delivery
+	for _, d := range sim.inFlight {
+		if d.at.After(sim.now) {
+			later = append(later, d)
 			continue
 		}
-		reply := w.engines[f.send.Host].take(f.send.Order, w.now)
-		if f.answered && f.send.Order.Epoch == w.epoch {
-			w.zone.Answer(f.send, reply)
-		} else if f.send.Order.Epoch == w.epoch {
-			w.zone.NoAnswer(f.send)
+		reply := sim.engines[d.hostOrder.Host].execute(d.hostOrder.Order, sim.now)
+		if d.answered && d.hostOrder.Order.Epoch == sim.epoch {
+			sim.zone.Answer(d.hostOrder, reply)
+		} else if d.hostOrder.Order.Epoch == sim.epoch {
+			sim.zone.NoAnswer(d.hostOrder)
 		}
 	}
-	w.flying = later
+	sim.inFlight = later
 }
 
-func (w *world) breaches() int {
+// overcommits counts the orders that would have overcommitted an engine's memory.
+func (sim *simulation) overcommits() int {
 	sum := 0
-	for _, e := range w.engines {
-		sum += e.breaches
+	for _, e := range sim.engines {
+		sum += e.overcommits
 	}
 	return sum
 }
 
-// ready counts the models with a ready copy of a version, adapters included.
-func (w *world) ready(version string, adapters int) int {
+// ready counts the models with a ready copy of a version, including all their adapters.
+func (sim *simulation) ready(version string, adapters int) int {
 	models := map[string]bool{}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		found := map[string]int{}
 		for _, c := range e.report.Copies {
 			if c.State == engine.CopyReady && c.Weights.Version == version {
@@ -234,43 +236,43 @@
 }
 
 func TestZoneMakesEveryModelReady(t *testing.T) {
-	w := newWorld(testConfig("v1", 1))
+	sim := newSimulation(testConfig("v1", 1))
 	for i := 0; i < 120; i++ {
-		w.step()
+		sim.step()
 	}
 	is := is.New(t)
-	is.Equal(w.ready("v1", 1), 6)
-	is.Equal(w.breaches(), 0)
-	is.Equal(w.zone.Status().InDoubt, 0)
+	is.Equal(sim.ready("v1", 1), 6)
+	is.Equal(sim.overcommits(), 0)
+	is.Equal(sim.zone.Status().InDoubt, 0)
 }
 
-func TestZoneRollsAVersionWithoutAGap(t *testing.T) {
-	w := newWorld(testConfig("v1", 0))
+func TestRolloutKeepsEveryModelServed(t *testing.T) {
+	sim := newSimulation(testConfig("v1", 0))
 	for i := 0; i < 120; i++ {
-		w.step()
+		sim.step()
 	}
-	w.zone.SetConfig(testConfig("v2", 0))
+	sim.zone.SetConfig(testConfig("v2", 0))
 	for i := 0; i < 400; i++ {
-		w.step()
+		sim.step()
 		for m := 0; m < 6; m++ {
-			if !w.served(fmt.Sprint("m", m)) {
+			if !sim.served(fmt.Sprint("m", m)) {
 				t.Fatalf("m%d has no ready copy in the routes at step %d", m, i)
 			}
 		}
 	}
 	is := is.New(t)
-	is.Equal(w.ready("v2", 0), 6)
-	is.Equal(w.ready("v1", 0), 0)
+	is.Equal(sim.ready("v2", 0), 6)
+	is.Equal(sim.ready("v1", 0), 0)
 }
 
-// served reports whether the routes name a ready copy that is really there.
-func (w *world) served(model string) bool {
-	for _, host := range w.zone.Routes(0).Hosts {
+// served reports whether the routes contain a copy of a model that its engine holds.
+func (sim *simulation) served(model string) bool {
+	for _, host := range sim.zone.Routes(0).Hosts {
 		if host.State != wire.HostLive {
 			continue
 		}
 		for _, route := range host.Models {
-			if route.Model == model && w.engines[host.Host].holds(engine.Weights{Model: model, Version: route.Version}) {
+			if route.Model == model && sim.engines[host.Host].holds(engine.Weights{Model: model, Version: route.Version}) {
 				return true
 			}
 		}
@@ -278,155 +280,155 @@
 	return false
 }
 
-func TestZoneEmptiesADrainedHostFirstElsewhere(t *testing.T) {
-	w := newWorld(testConfig("v1", 0))
+func TestDrainedHostIsEmptiedWhileModelsStayServed(t *testing.T) {
+	sim := newSimulation(testConfig("v1", 0))
 	for i := 0; i < 120; i++ {
-		w.step()
+		sim.step()
 	}
-	w.zone.Drain("h0", false)
+	sim.zone.Drain("h0", false)
 	for i := 0; i < 200; i++ {
-		w.step()
+		sim.step()
 		for m := 0; m < 6; m++ {
-			if !w.served(fmt.Sprint("m", m)) {
+			if !sim.served(fmt.Sprint("m", m)) {
 				t.Fatalf("m%d is not served at step %d", m, i)
 			}
 		}
 	}
-	is.New(t).Equal(len(w.engines["h0"].report.Copies), 0)
+	is.New(t).Equal(len(sim.engines["h0"].report.Copies), 0)
 }
 
-func TestZoneStopsCommandingAfterANewerEpochWasSeen(t *testing.T) {
-	w := newWorld(testConfig("v1", 0))
-	w.step()
-	w.engines["h1"].report.Epoch = w.epoch + 1
-	w.step()
-	w.step()
-	is.New(t).Equal(w.zone.Epoch(), uint64(0))
+func TestZoneLosesAuthorityOnNewerEpoch(t *testing.T) {
+	sim := newSimulation(testConfig("v1", 0))
+	sim.step()
+	sim.engines["h1"].report.Epoch = sim.epoch + 1
+	sim.step()
+	sim.step()
+	is.New(t).Equal(sim.zone.Epoch(), uint64(0))
 }
 
-func TestSubscriberGetsEverythingAgainWithANewEpoch(t *testing.T) {
-	w := newWorld(testConfig("v1", 0))
-	w.zone.SetAuthority(0, w.now)
-	w.step()
-	before := w.zone.routes.since(position{}, false)
-	w.zone.SetAuthority(7, w.now.Add(time.Hour))
-	// What came under epoch 0 was ignored: the routes have to come once more.
-	after := w.zone.routes.since(position{epoch: before.Epoch, seq: before.Seq}, false)
+func TestNewEpochSendsAllRoutesAgain(t *testing.T) {
+	sim := newSimulation(testConfig("v1", 0))
+	sim.zone.SetAuthority(0, sim.now)
+	sim.step()
+	before := sim.zone.routes.since(position{}, false)
+	sim.zone.SetAuthority(7, sim.now.Add(time.Hour))
+	// Updates of epoch 0 were ignored, so all routes have to be sent again.
+	after := sim.zone.routes.since(position{epoch: before.Epoch, seq: before.Seq}, false)
 	is := is.New(t)
 	is.True(after.Full)
-	is.Equal(len(after.Hosts), hosts)
-	again := w.zone.routes.since(position{epoch: after.Epoch, seq: after.Seq}, false)
+	is.Equal(len(after.Hosts), hostCount)
+	again := sim.zone.routes.since(position{epoch: after.Epoch, seq: after.Seq}, false)
 	is.Equal(len(again.Hosts), 0)
 }
 
-func TestRoutesAreTakenOnlyInTheirOwnEpoch(t *testing.T) {
+func TestAppliedRoutesCountOnlyInTheirEpoch(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	p := &Publisher{takenBy: map[string]taken{"e1": {epoch: 2, seq: 5, at: now}, "e2": {epoch: 1, seq: 99, at: now}}}
+	p := &Publisher{appliedBy: map[string]appliedSeq{"e1": {epoch: 2, seq: 5, at: now}, "e2": {epoch: 1, seq: 99, at: now}}}
 	is := is.New(t)
-	is.Equal(p.taken(2, now), uint64(0)) // e2 still acts on the routes of epoch 1
-	p.takenBy["e2"] = taken{epoch: 2, seq: 4, at: now}
-	is.Equal(p.taken(2, now), uint64(4))
-	is.Equal(p.taken(2, now.Add(2*reachFor)), ^uint64(0)) // nobody is in reach
+	is.Equal(p.appliedSeq(2, now), uint64(0)) // e2 still uses the routes of epoch 1
+	p.appliedBy["e2"] = appliedSeq{epoch: 2, seq: 4, at: now}
+	is.Equal(p.appliedSeq(2, now), uint64(4))
+	is.Equal(p.appliedSeq(2, now.Add(2*subscriberTimeout)), ^uint64(0)) // no subscriber is reachable
 }
 
-func TestUncheckedEnginesAreCommandedOnlyInsideTheLease(t *testing.T) {
+func TestUncheckedEnginesGetOrdersOnlyWithinLease(t *testing.T) {
 	set := testConfig("v1", 0)
 	pool, _ := set.Get(config.Key{Kind: config.KindPool, Name: "p"})
 	unchecked := *pool.Pool
 	unchecked.ChecksOrders = false
 	set = set.With([]config.Object{{Key: pool.Key, Pool: &unchecked}}, nil)
-	w := newWorld(set)
+	sim := newSimulation(set)
 	is := is.New(t)
 	sent := 0
-	w.fate = func(SendTo) []underWay { sent++; return nil }
-	for at := w.now; w.now.Sub(at) < ledger.UncheckedDelay-time.Second; {
-		w.step()
+	sim.deliver = func(HostOrder) []delivery { sent++; return nil }
+	for at := sim.now; sim.now.Sub(at) < ledger.UncheckedDelay-time.Second; {
+		sim.step()
 	}
-	is.Equal(sent, 0) // what an earlier planner sent may still arrive
-	w.zone.SetAuthority(w.epoch, w.now.Add(leaseMargin+2*time.Second))
+	is.Equal(sent, 0) // orders of an earlier planner may still arrive
+	sim.zone.SetAuthority(sim.epoch, sim.now.Add(leaseMargin+2*time.Second))
 	for range 8 {
-		w.step()
+		sim.step()
 	}
 	before := sent
 	is.True(before > 0)
 	for i := 0; i < 40; i++ {
-		w.step()
+		sim.step()
 	}
-	is.Equal(sent, before) // nothing after the lease less its margin
-	send := SendTo{Host: "h0", Order: engine.Order{Epoch: w.epoch}}
-	is.True(!w.zone.MayStillSend(send, w.now)) // read again just before the write
+	is.Equal(sent, before) // nothing is sent within the margin before the end of the lease, or after it
+	hostOrder := HostOrder{Host: "h0", Order: engine.Order{Epoch: sim.epoch}}
+	is.True(!sim.zone.MaySend(hostOrder, sim.now)) // checked again right before the order is written
 }
 
-// TestLedgerNeverOvercommits lets orders and answers be lost, late and doubled,
-// engines restart and fall silent, planners be replaced and the configuration
-// change, in any order. No engine may ever be asked for more than it has, and
-// when the faults end every model becomes ready.
+// TestLedgerNeverOvercommits checks that no engine is ordered to hold more than its memory, and
+// that every model is ready some time after the last fault, while orders and answers are lost,
+// delayed and duplicated, engines restart and stop reporting, planners are replaced and the
+// configuration changes.
 func TestLedgerNeverOvercommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testConfig("v1", 1)
 		version := "v1"
-		w := newWorld(set)
-		w.fate = func(send SendTo) []underWay {
-			late := time.Duration(rapid.IntRange(0, 8).Draw(t, "late")) * 500 * time.Millisecond
+		sim := newSimulation(set)
+		sim.deliver = func(hostOrder HostOrder) []delivery {
+			delay := time.Duration(rapid.IntRange(0, 8).Draw(t, "late")) * 500 * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(t, "fate") {
 			case 0:
 				return nil
 			case 1:
-				return []underWay{{send: send, at: w.now.Add(late)}}
+				return []delivery{{hostOrder: hostOrder, at: sim.now.Add(delay)}}
 			case 2:
-				return []underWay{{send: send, at: w.now, answered: true}, {send: send, at: w.now.Add(late), answered: true}}
+				return []delivery{{hostOrder: hostOrder, at: sim.now, answered: true}, {hostOrder: hostOrder, at: sim.now.Add(delay), answered: true}}
 			}
-			return []underWay{{send: send, at: w.now, answered: true}}
+			return []delivery{{hostOrder: hostOrder, at: sim.now, answered: true}}
 		}
 		for range rapid.IntRange(20, 80).Draw(t, "steps") {
-			name := fmt.Sprint("h", rapid.IntRange(0, hosts-1).Draw(t, "host"))
+			name := fmt.Sprint("h", rapid.IntRange(0, hostCount-1).Draw(t, "host"))
 			switch rapid.IntRange(0, 14).Draw(t, "event") {
 			case 0:
-				w.engines[name].restart()
+				sim.engines[name].restart()
 			case 1:
-				w.silent[name] = !w.silent[name]
+				sim.silent[name] = !sim.silent[name]
 			case 2:
-				w.newPlanner(set)
+				sim.replacePlanner(set)
 			case 3:
-				w.zone.Demand(wire.DemandReport{Models: []wire.ModelDemand{{Model: "m1", Requests: 9, Busy: 20000}}})
+				sim.zone.Demand(wire.DemandReport{Models: []wire.ModelDemand{{Model: "m1", Requests: 9, Busy: 20000}}})
 			case 4:
 				version = map[string]string{"v1": "v2", "v2": "v1"}[version]
 				set = testConfig(version, 1)
-				w.zone.SetConfig(set)
+				sim.zone.SetConfig(set)
 			}
-			w.step()
+			sim.step()
 		}
-		w.fate = nil
-		w.silent = map[string]bool{}
+		sim.deliver = nil
+		sim.silent = map[string]bool{}
 		for range 600 {
-			w.step()
+			sim.step()
 		}
-		if w.breaches() > 0 {
-			t.Fatalf("%d overcommitments%s", w.breaches(), w.describe())
+		if sim.overcommits() > 0 {
+			t.Fatalf("%d overcommitments%s", sim.overcommits(), sim.describe())
 		}
-		if ready := w.ready(version, 1); ready != 6 {
-			t.Fatalf("only %d of 6 models are ready in the end%s", ready, w.describe())
+		if ready := sim.ready(version, 1); ready != 6 {
+			t.Fatalf("only %d of 6 models are ready in the end%s", ready, sim.describe())
 		}
 	})
 }
 
-// describe tells what every engine holds and what the zone knows, for failures.
-func (w *world) describe() string {
+// describe returns the state of the engines and the zone for failure messages.
+func (sim *simulation) describe() string {
 	text := ""
-	for i := 0; i < hosts; i++ {
+	for i := 0; i < hostCount; i++ {
 		name := fmt.Sprint("h", i)
-		e := w.engines[name]
-		text += fmt.Sprintf("\n%s epoch %d order %d used %d state %s:", name, e.report.Epoch, e.report.LastOrder, e.used(), w.zone.members[name].state)
+		e := sim.engines[name]
+		text += fmt.Sprintf("\n%s epoch %d order %d used %d state %s:", name, e.report.Epoch, e.report.LastOrder, e.used(), sim.zone.members[name].state)
 		for _, c := range e.report.Copies {
 			text += fmt.Sprintf(" %s%s/%s:%s", c.Weights.Model, c.Weights.Adapter, c.Weights.Version, c.State)
 		}
-		for _, order := range w.zone.ledger.Host(name).Pending() {
+		for _, order := range sim.zone.ledger.Host(name).PendingOrders() {
 			text += fmt.Sprintf(" [%s]", describe(order))
 		}
 	}
-	for key := range w.zone.drains {
+	for key := range sim.zone.drains {
 		text += fmt.Sprintf("\ndraining %v", key)
 	}
-	in := w.zone.Input(w.now)
-	return text + fmt.Sprintf("\nzone epoch %d, unplaced %v, loads %d, accelerators %+v, copies %+v, steps %+v", w.zone.Epoch(), w.zone.unplaced, in.Loads, in.Accelerators, in.Copies, place.Plan(in).Steps)
+	in := sim.zone.Input(sim.now)
+	return text + fmt.Sprintf("\nzone epoch %d, unplaced %v, loads %d, accelerators %+v, copies %+v, steps %+v", sim.zone.Epoch(), sim.zone.unplaced, in.Loads, in.Accelerators, in.Copies, place.Plan(in).Steps)
 }
