--- a/src/placer/coming.go
+++ b/src/placer/coming.go
@@ -73,6 +73,7 @@
 	return r.pendingLoad, max(r.pendingLoadSince.Add(makeRoomTime).Sub(now), 0) + loadDuration
 }
 
+// comingKeys returns the models without their times, which change with each call.
 func comingKeys(models []comingModel) []modelKey {
 	keys := make([]modelKey, 0, len(models))
 	for _, m := range models {
--- a/src/placer/demand.go
+++ b/src/placer/demand.go
@@ -34,11 +34,13 @@
 	return r.value * math.Exp2(-float64(now.Sub(r.at))/float64(demandHalfLife))
 }
 
+// modelKey identifies a model of a service.
 type modelKey struct {
 	service string
 	model   string
 }
 
+// adapterKey identifies an adapter of a model; adapter is "" for the model itself.
 type adapterKey struct {
 	service string
 	model   string
@@ -61,6 +63,7 @@
 	return &demand{tokens: map[modelKey]*decayingRate{}, requests: map[modelKey]*decayingRate{}, adapters: map[adapterKey]*decayingRate{}, missing: map[adapterKey]time.Time{}}
 }
 
+// record adds the usage reported by a gateway.
 func (d *demand) record(now time.Time, usage wire.Usage) {
 	if d.firstUsageAt.IsZero() {
 		d.firstUsageAt = now
--- a/src/placer/ledger.go
+++ b/src/placer/ledger.go
@@ -146,6 +146,7 @@
 	return now.Sub(c.since) > absenceGracePeriod
 }
 
+// reconcileAdapters updates the adapters of a copy with those that the replica lists.
 func (c *copyState) reconcileAdapters(now time.Time, names []string, fromReport bool) {
 	reported := map[string]bool{}
 	for _, name := range names {
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -266,6 +266,7 @@
 	p.options.Ring.Add(event.Event{Kind: event.AuthorityGranted, Host: p.options.Holder, Reason: fmt.Sprintf("orders under fencing token %d", lead.Token)})
 }
 
+// stepService updates the replicas of a service and plans its models and adapters.
 func (p *Placer) stepService(ctx context.Context, now time.Time, s *catalog.Service) {
 	replicas := p.replicasOf(s.Name)
 	for _, r := range replicas {
@@ -288,6 +289,7 @@
 	return p.registrationsSettled
 }
 
+// replicasOf returns the replicas of a service in the order of their IDs.
 func (p *Placer) replicasOf(service string) []*replicaState {
 	var replicas []*replicaState
 	for _, id := range sortedIDs(p.replicas) {
@@ -328,6 +330,7 @@
 // loadTimeout is how long a load may go unconfirmed before a report is requested.
 const loadTimeout = 25 * time.Second
 
+// mayOrder reports whether an order may be sent to a replica now.
 func (p *Placer) mayOrder(r *replicaState) bool {
 	return r.usable && r.orderCountKnown && !r.outcomeUnknown && !r.callInFlight && !r.backingOff
 }
--- a/src/placer/plan.go
+++ b/src/placer/plan.go
@@ -125,6 +125,7 @@
 	return server
 }
 
+// planPhase returns the phase of a copy in a plan.
 func planPhase(at phase) rebalance.Phase {
 	switch at {
 	case ready:
--- a/src/placer/send.go
+++ b/src/placer/send.go
@@ -79,6 +79,7 @@
 	}
 }
 
+// adapterLoadTime estimates the load time of the adapter in an order.
 func (p *Placer) adapterLoadTime(order Order) time.Duration {
 	table := p.options.Table()
 	if table == nil {
@@ -136,6 +137,7 @@
 	}
 }
 
+// logOrder adds an event for the result of an order.
 func (p *Placer) logOrder(order Order, result Result) {
 	kind := event.OrderSent
 	switch result {
@@ -205,6 +207,7 @@
 	return copies
 }
 
+// holdingLess orders holdings of one replica by model and adapter.
 func holdingLess(a, b wire.Holding) bool {
 	if a.Model != b.Model {
 		return a.Model < b.Model
