--- a/src/admission/doc.go
+++ b/src/admission/doc.go
@@ -1,9 +1,9 @@
-// Package admission decides whether a request of a client account may pass: its key must
-// be known to have been in force lately, and its account must have something left.
+// Package admission decides whether to accept a request of a client account: its key must have been
+// valid in a recently confirmed configuration, and the account must have quota left.
 //
-// A Gate stands in each gateway, a Granter in each control node. A gate asks its granter
-// for each request; the answer also says how old the certainty is that the configuration
-// was the newest. Ages are measured from when a question was sent, on the asker's own
-// clock, so that an answer that was delayed, or read by a process that had been frozen,
-// never counts as younger than it is. What is granted is decided by package quota.
+// Each gateway has a Gate, each control node a Granter. A gate asks its granter for each request;
+// the answer also says how long ago the configuration was known to be the newest. Ages are measured
+// from when a request was sent, on the sender's own clock, so that an answer that was delayed, or
+// read by a process that was suspended, never counts as more recent than it is. Package quota
+// decides what is granted.
 package admission
--- a/src/admission/freshness.go
+++ b/src/admission/freshness.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// confirmationsKept bounds the versions whose confirmations are remembered: a gateway that
-// lags behind by more asks for the newest configuration anyway.
-const confirmationsKept = 16
+// maxConfirmations is the number of versions whose confirmations are kept. A gateway that lags
+// behind by more requests the newest configuration anyway.
+const maxConfirmations = 16
 
-// Freshness is how lately configurations were known to be the newest accepted one. It is
-// not safe for concurrent use.
+// Freshness tracks when configurations were last known to be the newest accepted one. It is not
+// safe for concurrent use.
 type Freshness struct {
-	// confirmed are in the order of their versions.
+	// confirmed is sorted by version.
 	confirmed []confirmation
 }
 
@@ -19,8 +19,8 @@
 	at      time.Time
 }
 
-// Confirm takes in that a version was the newest at a time; one that is older than what is
-// known already says nothing new.
+// Confirm records that a version was the newest at a time. Versions older than the newest known one
+// are ignored.
 func (f *Freshness) Confirm(version uint64, at time.Time) {
 	newest, _ := f.Newest()
 	switch {
@@ -28,7 +28,7 @@
 		return
 	case version > newest:
 		f.confirmed = append(f.confirmed, confirmation{version: version, at: at})
-		f.confirmed = f.confirmed[max(len(f.confirmed)-confirmationsKept, 0):]
+		f.confirmed = f.confirmed[max(len(f.confirmed)-maxConfirmations, 0):]
 		return
 	}
 	last := &f.confirmed[len(f.confirmed)-1]
@@ -37,8 +37,7 @@
 	}
 }
 
-// Newest returns the newest version that is known and when it was known to be that, 0 if
-// none is.
+// Newest returns the newest known version and when it was last confirmed, 0 if there is none.
 func (f *Freshness) Newest() (version uint64, at time.Time) {
 	if len(f.confirmed) == 0 {
 		return 0, time.Time{}
@@ -47,10 +46,9 @@
 	return last.version, last.at
 }
 
-// At returns when a configuration of a version was last known to be the newest, the zero
-// time if it never was. One that is newer than all that were confirmed was not older than
-// the newest of them.
-func (f *Freshness) At(version uint64) time.Time {
+// ConfirmedAt returns when a version was last known to be the newest, the zero time if it never
+// was. A version above all confirmed ones is at least as new as the highest of them.
+func (f *Freshness) ConfirmedAt(version uint64) time.Time {
 	for i := len(f.confirmed) - 1; i >= 0; i-- {
 		if f.confirmed[i].version <= version {
 			return f.confirmed[i].at
--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -11,29 +11,29 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The granter's times.
+// Times of the granter.
 const (
-	// leaseEvery is how often a control node reports to the leader: a dozen times in a
-	// lease, and often enough that shares follow clients within half a second.
-	leaseEvery = 200 * time.Millisecond
-	// leaseAgain is the pause after a report that no leader took: gateways wait for the
-	// first one of a new leader.
-	leaseAgain = 30 * time.Millisecond
-	// leaseWithin bounds one report. A later answer counts for nothing.
-	leaseWithin = 400 * time.Millisecond
-	// drawWithin bounds an ask for what no control node has.
-	drawWithin = 150 * time.Millisecond
-	// longestTold bounds the wait that is told: clients don't wait longer.
-	longestTold = 5 * time.Second
+	// reportInterval is how often a control node reports to the leader: a dozen times in a lease,
+	// and often enough that shares follow the demand within half a second.
+	reportInterval = 200 * time.Millisecond
+	// reportRetryDelay is the pause after a report without an answer. It is short because gateways
+	// wait for the first report to a new leader.
+	reportRetryDelay = 30 * time.Millisecond
+	// reportTimeout limits one report; later answers are ignored.
+	reportTimeout = 400 * time.Millisecond
+	// drawTimeout limits a request for units that are not leased.
+	drawTimeout = 150 * time.Millisecond
+	// maxWait limits the wait in an answer; clients don't wait longer.
+	maxWait = 5 * time.Second
 )
 
-// Leadership is what a granter has to know of its control node.
+// Leadership is the state of the granter's control node.
 type Leadership struct {
-	// Self is set while the node leads with a valid lease and has applied all that is
-	// committed; Version is then the newest accepted configuration.
+	// Self is set while the node leads with a valid lease and has applied all committed entries;
+	// Version is then the newest accepted configuration.
 	Self    bool
 	Version uint64
-	// Term is the leader's.
+	// Term is the term of the leader.
 	Term uint64
 	// Members are the control nodes.
 	Members []string
@@ -47,77 +47,78 @@
 	Draw  func(ctx context.Context, request wire.DrawRequest) (wire.DrawReply, error)
 }
 
-// GranterOptions are what a granter needs.
+// GranterOptions configure a granter.
 type GranterOptions struct {
-	// Node names the control node, Life tells its restarts apart.
+	// Node is the name of the control node; Life differs after each restart.
 	Node       string
 	Life       uint64
 	Terms      quota.Terms
 	Leader     Leader
 	Leadership func() Leadership
-	// Record records an account's extension on a majority's disks.
+	// Record records an account's extension on a majority of disks.
 	Record func(ctx context.Context, account string, units float64) error
 	// Table returns the newest configuration that the node has applied, nil if there is none.
 	Table func() *catalog.Table
 	Now   func() time.Time
 }
 
-// Granter grants a control node's part of the limits to its gateways and, while the node
-// leads, divides the limits among the control nodes. It is safe for concurrent use.
+// Granter grants a control node's shares of the limits to its gateways. While the node leads it
+// also divides the limits among the control nodes. It is safe for concurrent use.
 type Granter struct {
 	options GranterOptions
 
 	mu        sync.Mutex
 	holder    *quota.Holder
 	freshness Freshness
-	divider   *quota.Divider
-	// known is what a divider told last, for the case that this node is the next one.
-	known quota.Known
-	term  uint64
+	allocator *quota.Allocator
+	// priorUsage is the usage that the leader reported last; it is used if this node becomes the
+	// leader.
+	priorUsage quota.PriorUsage
+	term       uint64
 
-	// recording is held while an extension is recorded, before mu.
-	recording sync.Mutex
+	// recordMu is held while an extension is recorded. It is locked before mu.
+	recordMu sync.Mutex
 }
 
-// NewGranter returns a granter without a share.
+// NewGranter returns a granter without shares.
 func NewGranter(options GranterOptions) *Granter {
 	return &Granter{options: options, holder: quota.NewHolder(options.Node, options.Life, options.Terms)}
 }
 
-// Run reports to the leader until the context ends. There is one report at a time, so that
-// what a report says of the node's shares stays true until its answer.
+// Run reports to the leader until the context ends. There is one report at a time, so that the
+// shares in a report are still correct when the answer arrives.
 func (g *Granter) Run(ctx context.Context) {
-	pause := leaseEvery
+	pause := reportInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		pause = leaseAgain
+		pause = reportRetryDelay
 		if g.report(ctx) {
-			pause = leaseEvery
-			g.endExtensions(ctx)
+			pause = reportInterval
+			g.clearEndedExtensions(ctx)
 		}
 	}
 }
 
-// endExtensions records the end of the extensions that have left the window.
-func (g *Granter) endExtensions(ctx context.Context) {
-	lead, table := g.leads()
+// clearEndedExtensions records 0 for the extensions that have left the window.
+func (g *Granter) clearEndedExtensions(ctx context.Context) {
+	lead, table := g.leadingTable()
 	if table == nil {
 		return
 	}
 	g.mu.Lock()
 	now := g.options.Now()
-	ended := g.dividerOf(now, &lead).Ended(now)
+	ended := g.allocatorFor(now, &lead).Ended(now)
 	g.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, leaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	for _, account := range ended {
-		g.recording.Lock()
+		g.recordMu.Lock()
 		err := g.record(ctx, &lead, account, 0)
-		g.recording.Unlock()
+		g.recordMu.Unlock()
 		if err != nil {
 			// The next round tries again; until then the next leader counts too much.
 			return
@@ -125,26 +126,26 @@
 	}
 }
 
-// record records an extension and lets the divider of the same term use it; recording is held.
+// record records an extension and passes it to the allocator of the same term; recordMu is held.
 func (g *Granter) record(ctx context.Context, lead *Leadership, account string, units float64) error {
 	if err := g.options.Record(ctx, account, units); err != nil {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.divider != nil && g.term == lead.Term {
-		g.divider.Recorded(account, units)
+	if g.allocator != nil && g.term == lead.Term {
+		g.allocator.Recorded(account, units)
 	}
 	return nil
 }
 
-// report reports to the leader and takes in its answer; it reports false if there was none.
+// report reports to the leader and applies the answer; it reports false if there was none.
 func (g *Granter) report(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, leaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	sentAt := g.options.Now()
-	reply, err := g.options.Leader.Lease(ctx, g.request(sentAt))
-	// An error says that no leader was in reach; the next report tries again.
+	reply, err := g.options.Leader.Lease(ctx, g.leaseRequest(sentAt))
+	// An error means that no leader was reachable; the next report tries again.
 	if err != nil || !reply.Known || ctx.Err() != nil {
 		return false
 	}
@@ -153,11 +154,11 @@
 	g.freshness.Confirm(reply.Version, sentAt)
 	now := g.options.Now()
 	g.holder.Apply(now, sentAt, fromWire(reply.Shares))
-	g.known = quota.NewKnown(sentAt, now, usageFromWire(reply.Usage), reply.Complete)
+	g.priorUsage = quota.NewPriorUsage(sentAt, now, usageFromWire(reply.Usage), reply.Complete)
 	return true
 }
 
-func (g *Granter) request(now time.Time) wire.LeaseRequest {
+func (g *Granter) leaseRequest(now time.Time) wire.LeaseRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	report := g.holder.Report(now)
@@ -175,23 +176,23 @@
 	defer g.mu.Unlock()
 	if version, at := g.freshness.Newest(); version > 0 {
 		reply.Version = version
-		// Rounded up: an age must not be told as younger than it is.
+		// Rounded up, so that the configuration never seems more recent than it is.
 		reply.AgeMS = now.Sub(at).Milliseconds() + 1
 	}
 	return reply
 }
 
-// grant takes units from the node's share, or else from what no node has.
+// grant takes units from the node's share, or else from the units that are not leased.
 func (g *Granter) grant(ctx context.Context, request wire.AdmitRequest) (wire.Admission, int64) {
 	now := g.options.Now()
 	g.mu.Lock()
-	g.holder.Ask(now, request.Account, request.Units)
+	g.holder.AddDemand(now, request.Account, request.Units)
 	taken := g.holder.Take(now, request.Account, request.Units)
 	g.mu.Unlock()
 	if taken {
 		return wire.Granted, 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, drawWithin)
+	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
 	reply, err := g.options.Leader.Draw(ctx, wire.DrawRequest(request))
 	if err != nil {
@@ -200,9 +201,9 @@
 	return reply.Admission, reply.WaitMS
 }
 
-// Lease answers a control node's report, if this node leads.
+// Lease answers a control node's report if this node leads.
 func (g *Granter) Lease(request wire.LeaseRequest) wire.LeaseReply {
-	lead, table := g.leads()
+	lead, table := g.leadingTable()
 	if table == nil {
 		return wire.LeaseReply{Known: lead.Self, Version: lead.Version}
 	}
@@ -210,25 +211,25 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	report := quota.Report{Holder: request.Node, Life: request.Life, Sequence: request.Sequence, Shares: fromWire(request.Shares)}
-	divider := g.dividerOf(now, &lead)
-	shares := divider.Report(now, report, limits(table))
-	usage, complete := divider.Usage(now)
+	allocator := g.allocatorFor(now, &lead)
+	shares := allocator.Report(now, report, limitLookup(table))
+	usage, complete := allocator.Usage(now)
 	return wire.LeaseReply{Known: true, Version: lead.Version, Shares: toWire(shares), Usage: usageToWire(usage), Complete: complete}
 }
 
-// Draw answers an ask for what no control node has, if this node leads.
+// Draw grants units that are not leased if this node leads.
 func (g *Granter) Draw(ctx context.Context, request wire.DrawRequest) wire.DrawReply {
-	lead, table := g.leads()
+	lead, table := g.leadingTable()
 	if table == nil {
 		return wire.DrawReply{}
 	}
-	limit, limited := limits(table)(request.Account)
+	limit, limited := limitLookup(table)(request.Account)
 	if !limited {
 		return wire.DrawReply{Admission: wire.Granted}
 	}
-	answer := g.take(&lead, request, limit)
+	answer := g.takeUnits(&lead, request, limit)
 	if answer.Record > 0 {
-		answer = g.takeMore(ctx, &lead, request, limit)
+		answer = g.takeExtension(ctx, &lead, request, limit)
 	}
 	switch {
 	case answer.Taken:
@@ -236,22 +237,22 @@
 	case answer.Record > 0:
 		return wire.DrawReply{}
 	}
-	return wire.DrawReply{Admission: wire.Spent, WaitMS: min(answer.Wait, longestTold).Milliseconds() + 1}
+	return wire.DrawReply{Admission: wire.Spent, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
 }
 
-func (g *Granter) take(lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.Answer {
+func (g *Granter) takeUnits(lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.TakeResult {
 	now := g.options.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.dividerOf(now, lead).Take(now, request.Account, request.Units, limit)
+	return g.allocatorFor(now, lead).Take(now, request.Account, request.Units, limit)
 }
 
-// takeMore records what the account's extension needs and takes from it. Asks that wait
-// for a record find it made.
-func (g *Granter) takeMore(ctx context.Context, lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.Answer {
-	g.recording.Lock()
-	defer g.recording.Unlock()
-	answer := g.take(lead, request, limit)
+// takeExtension records the extension that the account needs and takes units from it. Callers that
+// waited for another recording may find that it is enough for them.
+func (g *Granter) takeExtension(ctx context.Context, lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.TakeResult {
+	g.recordMu.Lock()
+	defer g.recordMu.Unlock()
+	answer := g.takeUnits(lead, request, limit)
 	if answer.Record == 0 {
 		return answer
 	}
@@ -259,11 +260,11 @@
 		// The node no longer leads, or its majority is gone: nobody can say.
 		return answer
 	}
-	return g.take(lead, request, limit)
+	return g.takeUnits(lead, request, limit)
 }
 
-// leads returns the leadership and, if this node leads, the configuration.
-func (g *Granter) leads() (Leadership, *catalog.Table) {
+// leadingTable returns the leadership and, if this node leads, the configuration.
+func (g *Granter) leadingTable() (Leadership, *catalog.Table) {
 	lead := g.options.Leadership()
 	if !lead.Self {
 		return Leadership{}, nil
@@ -271,16 +272,16 @@
 	return lead, g.options.Table()
 }
 
-// dividerOf returns the divider of the node's term; the lock is held.
-func (g *Granter) dividerOf(now time.Time, lead *Leadership) *quota.Divider {
-	if g.divider == nil || g.term != lead.Term {
-		g.divider, g.term = quota.NewDivider(g.options.Terms, now, lead.Members, lead.Extensions, g.known), lead.Term
+// allocatorFor returns the allocator of the present term; the lock is held.
+func (g *Granter) allocatorFor(now time.Time, lead *Leadership) *quota.Allocator {
+	if g.allocator == nil || g.term != lead.Term {
+		g.allocator, g.term = quota.NewAllocator(g.options.Terms, now, lead.Members, lead.Extensions, g.priorUsage), lead.Term
 	}
-	return g.divider
+	return g.allocator
 }
 
-// limits returns a function that finds an account's limit, false if it has none.
-func limits(table *catalog.Table) func(string) (quota.Limit, bool) {
+// limitLookup returns a function that finds an account's limit, false if it has none.
+func limitLookup(table *catalog.Table) func(string) (quota.Limit, bool) {
 	return func(name string) (quota.Limit, bool) {
 		account := table.Account(name)
 		if account == nil || account.Limit.Rate <= 0 {
@@ -325,7 +326,7 @@
 	return all
 }
 
-// Used returns what is asked for of each account at this node, in units a second.
+// Used returns the demand of each account at this node, in units a second.
 func (g *Granter) Used() map[string]float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- /dev/null
+++ b/src/quota/allocator.go
@@ -0,0 +1,340 @@
+package quota
+
+import (
+	"time"
+)
+
+// Parameters of the allocation.
+const (
+	// leasableFraction is the part of a limit that is leased to holders. Limits are 1.8 times the
+	// usual load, so holders use about 0.55 of a limit, and the leased part covers a third more
+	// than the recent demand. The rest serves requests that do not fit a holder's share.
+	leasableFraction = 0.75
+	// demandTTL is how long a reported demand counts.
+	demandTTL = 2 * time.Second
+	// leaseMargin extends each lease at the allocator to allow for clock drift.
+	leaseMargin = 100 * time.Millisecond
+	// accountIdleTimeout is how long an unused account is kept. Its bucket is full again long
+	// before.
+	accountIdleTimeout = time.Minute
+)
+
+// Share is a holder's part of an account's rate.
+type Share struct {
+	Account string
+	// Rate is in units a second.
+	Rate float64
+	// Saved is the depth of the holder's bucket in units; it is not set in reports.
+	Saved float64
+	// Demand is the recently requested rate in units a second, Typical the mean size of these
+	// requests in units.
+	Demand  float64
+	Typical float64
+	// Spilled is the number of units that overflowed the holder's bucket unused.
+	Spilled float64
+}
+
+// Report is a holder's request to renew its shares.
+type Report struct {
+	Holder string
+	// Life differs after each restart of the holder and Sequence grows with each report, so that
+	// reports that arrive out of order can be ignored.
+	Life     uint64
+	Sequence uint64
+	// Shares lists every share that the holder may still use, with its demand.
+	Shares []Share
+}
+
+// Allocator divides the limits of all accounts among the holders. It is not safe for concurrent
+// use.
+type Allocator struct {
+	terms Terms
+	began time.Time
+	// unreported are the holders that may still hold shares of an earlier allocator.
+	unreported map[string]bool
+	// holders is the largest number of holders known.
+	holders     int
+	lastReports map[string]reportOrder
+	accounts    map[string]*account
+	// recordedExtensions are the extensions that earlier allocators may have used, by account;
+	// known is the usage that one of them reported to this process.
+	recordedExtensions map[string]float64
+	known              PriorUsage
+}
+
+// reportOrder orders the reports of a holder.
+type reportOrder struct {
+	incarnation uint64
+	sequence    uint64
+}
+
+// account is the state of one account's limit.
+type account struct {
+	limit Limit
+	// unleased is the bucket of the rate that is not leased, with the account's burst as its depth.
+	unleased bucket
+	// refusedUnits counts recently refused units that may be requested again. It falls at the
+	// account's rate, so that each refused request gets a later retry time than the one before.
+	refusedUnits float64
+	refusedAt    time.Time
+	leases       map[string]lease
+	// leasedRate is the rate leased to holders; since leasedRateAt it counts as used as time
+	// passes. spent is the leased rate plus the units taken from the unleased bucket and the
+	// extension.
+	leasedRate   float64
+	leasedRateAt time.Time
+	spent        slidingWindow
+	extension    extension
+	// used is when the account was last requested or reported.
+	used time.Time
+}
+
+// lease is the rate that a holder may use until it expires.
+type lease struct {
+	rate    float64
+	expires time.Time
+	// demand is the demand that the holder reported at demandAt.
+	demand   float64
+	demandAt time.Time
+}
+
+// NewAllocator returns an allocator that starts now. Holders may still use shares leased by an
+// earlier allocator, and extensions holds the units that accounts may have used beyond their rate.
+// known is the usage last reported to this process.
+func NewAllocator(terms Terms, now time.Time, holders []string, extensions map[string]float64, known PriorUsage) *Allocator {
+	d := &Allocator{known: known, recordedExtensions: extensions, terms: terms, began: now, holders: max(len(holders), 1), unreported: map[string]bool{}, lastReports: map[string]reportOrder{}, accounts: map[string]*account{}}
+	for _, holder := range holders {
+		d.unreported[holder] = true
+	}
+	return d
+}
+
+// leasesKnown reports whether every lease in use is known: all holders have reported, or the leases
+// of earlier allocators have expired.
+func (d *Allocator) leasesKnown(now time.Time) bool {
+	return len(d.unreported) == 0 || !now.Before(d.began.Add(d.terms.Lease+leaseMargin))
+}
+
+// Report processes a holder's report and returns the shares that the holder may use for one lease
+// duration from when it sent the report. limit returns an account's limit, false if it has none.
+func (d *Allocator) Report(now time.Time, report Report, limit func(account string) (Limit, bool)) []Share {
+	last, known := d.lastReports[report.Holder]
+	if known && last.incarnation == report.Life && report.Sequence <= last.sequence {
+		return nil
+	}
+	d.lastReports[report.Holder] = reportOrder{incarnation: report.Life, sequence: report.Sequence}
+	d.holders = max(d.holders, len(d.lastReports))
+	delete(d.unreported, report.Holder)
+	d.endUnreported(now, report)
+	var shares []Share
+	for _, reported := range report.Shares {
+		accountLimit, limited := limit(reported.Account)
+		if !limited {
+			continue
+		}
+		a := d.account(now, reported.Account, accountLimit)
+		maxSaved := d.terms.maxSaved(accountLimit) / float64(d.holders)
+		if maxSaved < reported.Typical {
+			// No request of this size would fit the holder's bucket.
+			reported.Demand = 0
+		}
+		a.unleased.advance(now)
+		a.unleased.add(min(reported.Spilled, maxSaved))
+		a.spent.add(now, -min(reported.Spilled, maxSaved))
+		shares = append(shares, Share{Account: reported.Account, Rate: d.renewLease(now, a, report.Holder, reported), Saved: maxSaved})
+	}
+	d.removeIdle(now)
+	return shares
+}
+
+// endUnreported ends the leases that the holder no longer reports, since it no longer uses them.
+func (d *Allocator) endUnreported(now time.Time, report Report) {
+	told := make(map[string]bool, len(report.Shares))
+	for _, share := range report.Shares {
+		told[share.Account] = true
+	}
+	for name, a := range d.accounts {
+		if _, leased := a.leases[report.Holder]; leased && !told[name] {
+			delete(a.leases, report.Holder)
+			d.updateUnleased(now, a)
+		}
+	}
+}
+
+// renewLease returns the rate that a holder may use from now on.
+func (d *Allocator) renewLease(now time.Time, a *account, holder string, told Share) float64 {
+	expires := now.Add(d.terms.Lease + leaseMargin)
+	a.leases[holder] = lease{rate: told.Rate, expires: expires, demand: told.Demand, demandAt: now}
+	rate := d.fairRate(now, a, holder)
+	if a.extension.inUse(now) {
+		// Leases can't be revoked early, so the remaining rate is left to the extension.
+		rate = 0
+	}
+	room := leasableFraction*a.limit.Rate - d.leasedExcept(now, a, holder)
+	if !d.leasesKnown(now) {
+		room = min(room, told.Rate)
+	}
+	rate = min(rate, max(room, 0))
+	// The holder may use its old rate until it reports a lower one.
+	a.leases[holder] = lease{rate: max(rate, told.Rate), expires: expires, demand: told.Demand, demandAt: now}
+	d.updateUnleased(now, a)
+	return rate
+}
+
+// fairRate returns the holder's part of the leasable rate in proportion to its demand.
+func (d *Allocator) fairRate(now time.Time, a *account, holder string) float64 {
+	all := 0.0
+	for _, l := range a.leases {
+		if now.Sub(l.demandAt) < demandTTL {
+			all += l.demand
+		}
+	}
+	if all <= 0 {
+		return 0
+	}
+	return leasableFraction * a.limit.Rate * a.leases[holder].demand / all
+}
+
+// leasedExcept returns the rate leased to all holders but one.
+func (d *Allocator) leasedExcept(now time.Time, a *account, excluded string) float64 {
+	sum := 0.0
+	for holder, p := range a.leases {
+		if holder != excluded && now.Before(p.expires) {
+			sum += p.rate
+		}
+	}
+	return sum
+}
+
+// account returns the state of an account and updates its limit.
+func (d *Allocator) account(now time.Time, name string, limit Limit) *account {
+	a := d.accounts[name]
+	if a == nil {
+		span := d.terms.Window + d.terms.Life
+		a = &account{limit: limit, leases: map[string]lease{}, leasedRateAt: d.began, spent: slidingWindow{span: span}}
+		// The bucket starts empty but fills from the allocator's start.
+		a.unleased = bucket{at: d.began}
+		a.extension = extension{used: slidingWindow{span: span}, recorded: d.recordedExtensions[name]}
+		d.restoreUsage(a, name)
+		d.updateUnleased(d.began, a)
+		d.accounts[name] = a
+	}
+	a.used = now
+	if a.limit != limit {
+		a.limit = limit
+		d.updateUnleased(now, a)
+	}
+	return a
+}
+
+// updateUnleased sets the fill rate of the unleased bucket. While leases of an earlier allocator
+// may be in use, the whole leasable part counts as leased.
+func (d *Allocator) updateUnleased(now time.Time, a *account) {
+	leasedRate := d.leasedExcept(now, a, "")
+	if !d.leasesKnown(now) {
+		leasedRate = max(leasedRate, leasableFraction*a.limit.Rate)
+	}
+	a.spent.add(now, a.leasedRate*max(now.Sub(a.leasedRateAt).Seconds(), 0))
+	a.leasedRate, a.leasedRateAt = leasedRate, now
+	a.unleased.set(now, max(a.limit.Rate-leasedRate, 0), a.limit.Burst)
+}
+
+// TakeResult is the result of Take.
+type TakeResult struct {
+	Taken bool
+	// Wait is the time until the units are available, behind the requests refused earlier.
+	Wait time.Duration
+	// Record is the extension that has to be recorded and passed to Recorded before more can be
+	// taken; 0 if recording would not help.
+	Record float64
+}
+
+// Take takes units that are not leased: from the account's bucket, or else from its extension.
+func (d *Allocator) Take(now time.Time, name string, units float64, limit Limit) TakeResult {
+	a := d.account(now, name, limit)
+	d.updateUnleased(now, a)
+	remaining := a.remaining(now, &d.terms, d.maxUnreportedUse(now, limit))
+	if !a.extension.inUse(now) || a.extension.isBlocked(now) || units <= remaining {
+		if taken, _ := a.unleased.borrow(now, units); taken {
+			a.spent.add(now, units)
+			return TakeResult{Taken: true}
+		}
+	}
+	if units > remaining || a.extension.isBlocked(now) {
+		return TakeResult{Wait: a.noteRefusal(now, units, remaining)}
+	}
+	if record := a.extension.take(now, units, limit.Rate); record > 0 {
+		return TakeResult{Record: record}
+	}
+	a.spent.add(now, units)
+	return TakeResult{Taken: true}
+}
+
+// maxUnreportedUse returns how many units holders that have not reported yet may still use.
+func (d *Allocator) maxUnreportedUse(now time.Time, limit Limit) float64 {
+	if d.leasesKnown(now) {
+		return 0
+	}
+	return leasableFraction * limit.Rate * d.began.Add(d.terms.Lease+leaseMargin).Sub(now).Seconds()
+}
+
+// remaining returns the units left in the present window if holders use their leases in full and
+// holders that have not reported use unreportedUse.
+func (a *account) remaining(now time.Time, terms *Terms, unreportedUse float64) float64 {
+	remaining := a.limit.Rate*terms.Window.Seconds() + a.limit.Burst - a.spent.used(now) - unreportedUse
+	for _, p := range a.leases {
+		if rest := p.expires.Sub(now); rest > 0 {
+			remaining -= p.rate * rest.Seconds()
+		}
+	}
+	return remaining
+}
+
+// noteRefusal records a refusal. It returns the time until all recently refused units are
+// available: until the bucket holds them or, if the window is used up, until enough use has left
+// it.
+func (a *account) noteRefusal(now time.Time, units, left float64) time.Duration {
+	passed := now.Sub(a.refusedAt).Seconds()
+	a.refusedUnits = max(a.refusedUnits-passed*a.limit.Rate, 0) + units
+	a.refusedAt = now
+	if a.limit.Rate <= 0 {
+		return never
+	}
+	saved := time.Duration((a.refusedUnits - a.unleased.level) / a.limit.Rate * float64(time.Second))
+	if units <= left {
+		return saved
+	}
+	return max(saved, a.spent.timeUntilFreed(now, a.refusedUnits-max(left, 0)))
+}
+
+// Recorded notes that an account's extension was recorded durably.
+func (d *Allocator) Recorded(name string, units float64) {
+	if a := d.accounts[name]; a != nil {
+		a.extension.recorded = units
+	}
+}
+
+// Ended returns the accounts whose recorded extension has left the window and may be recorded as 0.
+func (d *Allocator) Ended(now time.Time) []string {
+	var ended []string
+	for name, a := range d.accounts {
+		if a.extension.recorded > 0 && !a.extension.isBlocked(now) && !a.extension.inUse(now) {
+			ended = append(ended, name)
+		}
+	}
+	for name := range d.recordedExtensions {
+		if d.accounts[name] == nil && !now.Before(d.began.Add(d.terms.Window+d.terms.Life)) {
+			ended = append(ended, name)
+		}
+	}
+	return ended
+}
+
+// removeIdle removes the accounts that were not used recently.
+func (d *Allocator) removeIdle(now time.Time) {
+	for name, a := range d.accounts {
+		if now.Sub(a.used) > accountIdleTimeout && a.extension.recorded == 0 {
+			delete(d.accounts, name)
+		}
+	}
+}
--- a/src/quota/bucket.go
+++ b/src/quota/bucket.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// bucket saves units at a rate up to a depth.
+// bucket is a token bucket: it fills at a constant rate up to its depth.
 type bucket struct {
 	rate  float64
 	depth float64
 	level float64
-	// spilled is what did not fit since it was last looked at.
-	spilled float64
-	at      time.Time
+	// overflow counts the units that did not fit since the last report.
+	overflow float64
+	at       time.Time
 }
 
-// advance saves what the time since the last call has brought at the rate until now.
+// advance adds the units for the time since the last call.
 func (b *bucket) advance(now time.Time) {
 	if passed := now.Sub(b.at).Seconds(); passed > 0 {
 		b.at = now
@@ -23,12 +23,12 @@
 	}
 }
 
-// add saves units as far as they fit.
+// add adds units up to the depth and counts the rest as overflow.
 func (b *bucket) add(units float64) {
 	b.level += units
 	if over := b.level - b.depth; over > 0 {
 		b.level = b.depth
-		b.spilled += over
+		b.overflow += over
 	}
 }
 
@@ -39,30 +39,30 @@
 	b.add(0)
 }
 
-// take takes units if there are so many; if not, it returns how long the bucket needs for
-// them, which is never if it can't hold so many.
+// take removes units if the bucket holds that many. Otherwise it returns the time until it does, or
+// never if the units exceed the depth.
 func (b *bucket) take(now time.Time, units float64) (taken bool, wait time.Duration) {
-	return b.takeFrom(now, units, units)
+	return b.takeWithThreshold(now, units, units)
 }
 
-// borrow is take that gives more than the bucket can hold once it is full: what it lacks is
-// saved up before anything else is given.
+// borrow is like take, but a full bucket also grants more than its depth. The level then becomes
+// negative and has to recover before anything else is granted.
 func (b *bucket) borrow(now time.Time, units float64) (taken bool, wait time.Duration) {
-	return b.takeFrom(now, units, min(units, b.depth))
+	return b.takeWithThreshold(now, units, min(units, b.depth))
 }
 
-// takeFrom takes units once the level has reached enough.
-func (b *bucket) takeFrom(now time.Time, units, enough float64) (taken bool, wait time.Duration) {
+// takeWithThreshold removes units once the level has reached the threshold.
+func (b *bucket) takeWithThreshold(now time.Time, units, threshold float64) (taken bool, wait time.Duration) {
 	b.advance(now)
-	if b.level >= enough {
+	if b.level >= threshold {
 		b.level -= units
 		return true, 0
 	}
-	if enough > b.depth || b.rate <= 0 {
+	if threshold > b.depth || b.rate <= 0 {
 		return false, never
 	}
-	return false, time.Duration((enough - b.level) / b.rate * float64(time.Second))
+	return false, time.Duration((threshold - b.level) / b.rate * float64(time.Second))
 }
 
-// never is a wait without an end.
+// never is the wait of a request that can't be granted at all.
 const never = time.Duration(math.MaxInt64)
--- a/src/quota/grants.go
+++ b/src/quota/grants.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Grants are the units that a gateway was granted and has not spent. It is not safe for
+// Grants holds the units that were granted to a gateway and not spent. It is not safe for
 // concurrent use.
 type Grants struct {
-	accounts map[string][]grant
-	empty    map[string]emptiness
+	accounts  map[string][]grant
+	exhausted map[string]exhaustion
 }
 
-// emptiness says until when an account is known to have nothing left, and when its
-// requests should come back.
-type emptiness struct {
+// exhaustion says until when an account is known to be out of units, and how long its requests
+// should wait.
+type exhaustion struct {
 	until time.Time
 	wait  time.Duration
 }
 
-// grant is what may be spent until a time.
+// grant is a number of units that may be spent until a time.
 type grant struct {
 	units float64
 	until time.Time
 }
 
-// NewGrants returns no grants.
+// NewGrants returns an empty Grants.
 func NewGrants() *Grants {
-	return &Grants{accounts: map[string][]grant{}, empty: map[string]emptiness{}}
+	return &Grants{accounts: map[string][]grant{}, exhausted: map[string]exhaustion{}}
 }
 
-// Put gives units back that were granted until a time and not spent.
+// Put returns granted units that were not spent; they may be spent until the given time.
 func (g *Grants) Put(now time.Time, account string, units float64, until time.Time) {
 	if !now.Before(until) {
 		return
@@ -35,8 +35,8 @@
 	g.accounts[account] = append(g.accounts[account], grant{units: units, until: until})
 }
 
-// Take takes units out of one grant, if one that may still be spent has so many, and
-// returns until when they may be spent.
+// Take takes units from one grant that is valid and large enough. It returns until when they may be
+// spent.
 func (g *Grants) Take(now time.Time, account string, units float64) (until time.Time, taken bool) {
 	kept := g.accounts[account][:0]
 	for _, one := range g.accounts[account] {
@@ -59,22 +59,22 @@
 	return until, taken
 }
 
-// SetEmpty notes that an account has nothing left until a time, and how long its requests
-// should wait.
-func (g *Grants) SetEmpty(account string, until time.Time, wait time.Duration) {
-	g.empty[account] = emptiness{until: until, wait: wait}
+// SetExhausted notes that an account is out of units until a time, and how long its requests should
+// wait.
+func (g *Grants) SetExhausted(account string, until time.Time, wait time.Duration) {
+	g.exhausted[account] = exhaustion{until: until, wait: wait}
 }
 
-// Empty returns how long the requests of an account that has nothing left should wait, 0 if
-// it is not known to have nothing.
-func (g *Grants) Empty(now time.Time, account string) time.Duration {
-	known, found := g.empty[account]
+// ExhaustedWait returns how long the requests of an exhausted account should wait, 0 if it is not
+// known to be exhausted.
+func (g *Grants) ExhaustedWait(now time.Time, account string) time.Duration {
+	last, found := g.exhausted[account]
 	if !found {
 		return 0
 	}
-	if !now.Before(known.until) {
-		delete(g.empty, account)
+	if !now.Before(last.until) {
+		delete(g.exhausted, account)
 		return 0
 	}
-	return known.wait
+	return last.wait
 }
--- a/src/quota/holder.go
+++ b/src/quota/holder.go
@@ -2,78 +2,80 @@
 
 import "time"
 
-// leastDemand is the demand below which a holder asks for no share, in units a second.
-const leastDemand = 0.01
+// minDemand is the demand, in units a second, below which a holder requests no share.
+const minDemand = 0.01
 
-// Holder is a control node's part of the limits. It is not safe for concurrent use.
+// Holder is the part of the limits that is leased to one control node. It is not safe for
+// concurrent use.
 type Holder struct {
-	name     string
-	life     uint64
-	terms    Terms
-	sequence uint64
-	parts    map[string]*part
+	name        string
+	incarnation uint64
+	terms       Terms
+	sequence    uint64
+	shares      map[string]*heldShare
 }
 
-// part is what a holder has of one account's limit.
-type part struct {
-	saved bucket
-	// until is when the share ends.
-	until time.Time
-	// demand are the units that are asked for, asks the requests that ask for them.
-	demand meter
-	asks   meter
+// heldShare is a holder's share of one account's limit.
+type heldShare struct {
+	// tokens holds the units that the holder may spend.
+	tokens bucket
+	// expires is when the lease ends.
+	expires time.Time
+	// demand measures the requested units, requests the number of requests.
+	demand   meter
+	requests meter
 }
 
-// NewHolder returns a holder without shares; life is another one after each restart.
-func NewHolder(name string, life uint64, terms Terms) *Holder {
-	return &Holder{name: name, life: life, terms: terms, parts: map[string]*part{}}
+// NewHolder returns a holder without shares; incarnation differs after each restart.
+func NewHolder(name string, incarnation uint64, terms Terms) *Holder {
+	return &Holder{name: name, incarnation: incarnation, terms: terms, shares: map[string]*heldShare{}}
 }
 
-// Ask counts what is asked for, whether it will be granted or not.
-func (h *Holder) Ask(now time.Time, account string, units float64) {
-	p := h.part(account)
+// AddDemand counts requested units, whether they will be granted or not.
+func (h *Holder) AddDemand(now time.Time, account string, units float64) {
+	p := h.heldShare(account)
 	p.demand.add(now, units)
-	p.asks.add(now, 1)
+	p.requests.add(now, 1)
 }
 
-// Take takes units from the holder's share, if it has so many.
+// Take takes units from the holder's share if it has that many.
 func (h *Holder) Take(now time.Time, account string, units float64) bool {
-	p := h.parts[account]
-	if p == nil || !now.Before(p.until) {
+	p := h.shares[account]
+	if p == nil || !now.Before(p.expires) {
 		return false
 	}
-	taken, _ := p.saved.take(now, units)
+	taken, _ := p.tokens.take(now, units)
 	return taken
 }
 
-func (h *Holder) part(account string) *part {
-	p := h.parts[account]
+func (h *Holder) heldShare(account string) *heldShare {
+	p := h.shares[account]
 	if p == nil {
-		p = &part{}
-		h.parts[account] = p
+		p = &heldShare{}
+		h.shares[account] = p
 	}
 	return p
 }
 
-// Report returns what the divider has to know; the holder forgets what it neither has nor
-// was asked for.
+// Report returns the report for the allocator. The holder drops accounts without a share and
+// without demand.
 func (h *Holder) Report(now time.Time) Report {
 	h.sequence++
-	report := Report{Holder: h.name, Life: h.life, Sequence: h.sequence}
-	for account, p := range h.parts {
-		// What did not fit goes back to the divider, once.
+	report := Report{Holder: h.name, Life: h.incarnation, Sequence: h.sequence}
+	for account, p := range h.shares {
+		// Units that overflowed the bucket are given back to the allocator, once.
 		share := Share{Account: account, Demand: p.demand.rate(now)}
-		if asks := p.asks.rate(now); asks > 0 {
-			share.Typical = share.Demand / asks
+		if requests := p.requests.rate(now); requests > 0 {
+			share.Typical = share.Demand / requests
 		}
-		p.saved.advance(sooner(now, p.until))
-		share.Spilled = min(p.saved.spilled, p.saved.depth)
-		p.saved.spilled = 0
-		if now.Before(p.until) {
-			share.Rate = p.saved.rate
+		p.tokens.advance(earlier(now, p.expires))
+		share.Spilled = min(p.tokens.overflow, p.tokens.depth)
+		p.tokens.overflow = 0
+		if now.Before(p.expires) {
+			share.Rate = p.tokens.rate
 		}
-		if share.Rate == 0 && share.Demand < leastDemand {
-			delete(h.parts, account)
+		if share.Rate == 0 && share.Demand < minDemand {
+			delete(h.shares, account)
 			continue
 		}
 		report.Shares = append(report.Shares, share)
@@ -81,32 +83,32 @@
 	return report
 }
 
-func sooner(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// Apply takes in the shares that the divider gave for a report sent at a time. It must not
+// Apply installs the shares that the allocator returned for the report sent at sentAt. It must not
 // be called once a later report was sent.
 func (h *Holder) Apply(now, sentAt time.Time, shares []Share) {
-	until := sentAt.Add(h.terms.Lease)
+	expires := sentAt.Add(h.terms.Lease)
 	for _, share := range shares {
-		p := h.part(share.Account)
-		if !now.Before(p.until) {
-			// What an ended share had saved is gone with it.
-			p.saved = bucket{at: now}
+		p := h.heldShare(share.Account)
+		if !now.Before(p.expires) {
+			// Units saved under an expired lease are lost.
+			p.tokens = bucket{at: now}
 		}
-		p.saved.set(now, share.Rate, share.Saved)
-		p.until = until
+		p.tokens.set(now, share.Rate, share.Saved)
+		p.expires = expires
 	}
 }
 
-// Used returns what is asked for of each account, in units a second.
+// Used returns the demand of each account in units a second.
 func (h *Holder) Used(now time.Time) map[string]float64 {
-	used := make(map[string]float64, len(h.parts))
-	for account, p := range h.parts {
+	used := make(map[string]float64, len(h.shares))
+	for account, p := range h.shares {
 		used[account] = p.demand.rate(now)
 	}
 	return used
--- a/src/quota/quota_test.go
+++ b/src/quota/quota_test.go
@@ -15,9 +15,9 @@
 
 func testTerms() Terms { return NewTerms(8*time.Second, 0.1, 17000) }
 
-// TestUseNeverExceedsTheLimitInAnyWindow plays floods through leaders that change and are
-// missing, control nodes that are cut off or restarted, gateways that forget, and
-// requests that reach their replica at the last moment.
+// TestUseNeverExceedsTheLimitInAnyWindow floods accounts while leaders change or are missing,
+// control nodes are disconnected or restarted, gateways lose their grants, and requests reach their
+// replica at the last moment.
 func TestUseNeverExceedsTheLimitInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -27,7 +27,7 @@
 			"small": {Rate: 4200, Burst: 4200},
 			"bare":  {Rate: 20000},
 		}
-		w := newWorld(leased, testTerms(), limits, 6, 24, random)
+		w := newSimulation(leased, testTerms(), limits, 6, 24, random)
 		chance := rapid.SampledFrom([]float64{0, 0.0005, 0.002, 0.01}).Draw(t, "chance of a fault in a step")
 		lull := time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "lull between floods"))
 		flood := rapid.Float64Range(0.3, 8).Draw(t, "asked, as a part of the limit")
@@ -39,22 +39,22 @@
 				w.idle(lull)
 			}
 			if random.Float64() < chance {
-				w.fault()
+				w.injectFault()
 			}
 			for _, account := range w.accounts {
 				w.flood(account, limits[account], flood)
 			}
 		}
 		for account := range limits {
-			if most, bound := w.most(account), w.bound(account); most > bound {
-				t.Fatalf("%s: %.0f units in a window, %.0f allowed", account, most, bound)
+			if peakUsage, maxUsage := w.peakUsage(account), w.maxUsage(account); peakUsage > maxUsage {
+				t.Fatalf("%s: %.0f units in a window, %.0f allowed", account, peakUsage, maxUsage)
 			}
 		}
 	})
 }
 
-// fault does one thing that may happen to an installation.
-func (w *world) fault() {
+// injectFault injects one random fault.
+func (w *simulation) injectFault() {
 	node := w.random.IntN(len(w.nodes))
 	gateway := w.gateways[w.random.IntN(len(w.gateways))]
 	switch w.random.IntN(6) {
@@ -63,19 +63,19 @@
 	case 1:
 		w.elect(node)
 	case 2:
-		w.nodes[node].cut = !w.nodes[node].cut
+		w.nodes[node].disconnected = !w.nodes[node].disconnected
 	case 3:
-		w.nodes[node] = &worldNode{holder: w.newHolder(node), cut: w.nodes[node].cut}
+		w.nodes[node] = &simulatedNode{holder: w.newHolder(node), disconnected: w.nodes[node].disconnected}
 	case 4:
 		gateway.grants = NewGrants()
 		gateway.node = node
 	case 5:
-		gateway.cut = !gateway.cut
+		gateway.disconnected = !gateway.disconnected
 	}
 }
 
-// flood lets a step's requests of an account come, in clumps.
-func (w *world) flood(account string, limit Limit, part float64) {
+// flood sends one step's requests of an account, as a multiple of its limit.
+func (w *simulation) flood(account string, limit Limit, part float64) {
 	const units = 2400
 	for left := part * limit.Rate * step.Seconds(); left > 0; left -= units {
 		if left < units && w.random.Float64() > left/units {
@@ -86,27 +86,27 @@
 	}
 }
 
-// TestAnAccountBelowItsLimitIsNotRefused plays the usual load, a 1.8th of the limit in
-// waves and clumps, from the few gateways that an account's clients reach.
+// TestAnAccountBelowItsLimitIsNotRefused sends the usual load, a 1.8th of the limit in waves and
+// bursts, through the few gateways that an account's clients reach.
 func TestAnAccountBelowItsLimitIsNotRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		limits := map[string]Limit{"large": {Rate: 300000, Burst: 300000}, "mid": {Rate: 60000, Burst: 60000}}
-		w := newWorld(leased, testTerms(), limits, 6, 89, random)
+		w := newSimulation(leased, testTerms(), limits, 6, 89, random)
 		w.idle(10 * time.Second)
 		for range 3000 {
 			w.advance()
-			w.usual("large", limits["large"], 40)
-			w.usual("mid", limits["mid"], 7)
+			w.normalLoad("large", limits["large"], 40)
+			w.normalLoad("mid", limits["mid"], 7)
 		}
-		if share := float64(w.within) / float64(w.asked); share > 0.005 {
-			t.Fatalf("%d of %d refused", w.within, w.asked)
+		if share := float64(w.refusedWithinLimit) / float64(w.asked); share > 0.005 {
+			t.Fatalf("%d of %d refused", w.refusedWithinLimit, w.asked)
 		}
 	})
 }
 
-// usual lets a step's share of an account's usual requests come to its gateways.
-func (w *world) usual(account string, limit Limit, gateways int) {
+// normalLoad sends one step's share of an account's usual requests through its gateways.
+func (w *simulation) normalLoad(account string, limit Limit, gateways int) {
 	const (
 		units  = 2400
 		clump  = 3
@@ -124,14 +124,14 @@
 	}
 }
 
-// TestWaysOfDividing compares the product's way with the ones that were weighed, on the
-// same requests: the leader's loss for a second, and a flood.
+// TestWaysOfDividing compares the strategy in use with the alternatives on the same requests, with
+// a leader missing for a second at a time.
 func TestWaysOfDividing(t *testing.T) {
 	is := is.New(t)
-	refused := map[way]int{}
-	for _, way := range []way{leased, central, equal} {
+	refused := map[strategy]int{}
+	for _, strategy := range []strategy{leased, central, equal} {
 		limits := map[string]Limit{"large": {Rate: 300000, Burst: 300000}, "mid": {Rate: 60000, Burst: 60000}}
-		w := newWorld(way, testTerms(), limits, 6, 89, rand.New(rand.NewPCG(1, 3)))
+		w := newSimulation(strategy, testTerms(), limits, 6, 89, rand.New(rand.NewPCG(1, 3)))
 		w.idle(10 * time.Second)
 		for i := range 3000 {
 			w.advance()
@@ -141,47 +141,46 @@
 			if i%1000 == 600 {
 				w.elect(i / 1000)
 			}
-			w.usual("large", limits["large"], 40)
-			w.usual("mid", limits["mid"], 7)
+			w.normalLoad("large", limits["large"], 40)
+			w.normalLoad("mid", limits["mid"], 7)
 		}
-		refused[way] = w.within
-		t.Logf("%s: %d of %d refused", wayNames[way], w.within, w.asked)
+		refused[strategy] = w.refusedWithinLimit
+		t.Logf("%s: %d of %d refused", strategyNames[strategy], w.refusedWithinLimit, w.asked)
 		for account := range limits {
-			is.True(w.most(account) <= w.bound(account))
+			is.True(w.peakUsage(account) <= w.maxUsage(account))
 		}
 	}
 	is.True(refused[leased] < refused[central])
 	is.True(refused[leased] < refused[equal])
 }
 
-// TestAFloodAfterARestGetsTheWholeWindowAtOnce: the limit counts over a window.
-func TestAFloodAfterARestGetsTheWholeWindowAtOnce(t *testing.T) {
+// An account that was idle may use its limit for the whole window at once.
+func TestAFloodAfterAnIdleWindowGetsTheWholeWindowAtOnce(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 300000, Burst: 300000}
-	w := newWorld(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 5)))
+	w := newSimulation(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 5)))
 	w.idle(10 * time.Second)
 	for range 300 {
 		w.advance()
 		w.flood("a", limit, 6)
 	}
-	is.True(w.most("a") >= 0.98*9*limit.Rate)
-	is.True(w.most("a") <= w.bound("a"))
+	is.True(w.peakUsage("a") >= 0.98*9*limit.Rate)
+	is.True(w.peakUsage("a") <= w.maxUsage("a"))
 	before := w.refused
 	w.idle(testTerms().Window + testTerms().Life)
 	w.flood("a", limit, 6)
 	is.Equal(w.refused, before)
 }
 
-// TestAFloodAfterAChangeOfTheLeaderGetsWhatIsLeftOfItsWindow: the new leader was told what
-// the account had used.
+// A new leader knows what the account had used, so it need not refuse all of the window.
 func TestAFloodAfterAChangeOfTheLeaderGetsWhatIsLeftOfItsWindow(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 300000, Burst: 300000}
-	w := newWorld(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 6)))
+	w := newSimulation(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 6)))
 	w.idle(10 * time.Second)
 	for range 300 {
 		w.advance()
-		w.usual("a", limit, 40)
+		w.normalLoad("a", limit, 40)
 	}
 	w.elect(-1)
 	w.idle(time.Second)
@@ -190,27 +189,26 @@
 		w.advance()
 		w.flood("a", limit, 6)
 	}
-	is.True(w.most("a") >= 0.65*9*limit.Rate) // a second's rate and the burst count as used
-	is.True(w.most("a") <= w.bound("a"))
+	is.True(w.peakUsage("a") >= 0.65*9*limit.Rate) // a second's rate and the burst count as used
+	is.True(w.peakUsage("a") <= w.maxUsage("a"))
 }
 
-// TestANewDividerKnowsTheExtensionsOfTheOneBefore: what it gave at once is in the window yet.
-func TestANewDividerKnowsTheExtensionsOfTheOneBefore(t *testing.T) {
+// An extension used under an earlier allocator still counts in the present window.
+func TestANewAllocatorCountsRecordedExtensions(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 100, Burst: 100}
-	d := NewDivider(testTerms(), noon, nil, map[string]float64{"a": 300}, Known{})
+	d := NewAllocator(testTerms(), noon, nil, map[string]float64{"a": 300}, PriorUsage{})
 	is.True(!d.Take(noon.Add(3*time.Second), "a", 10, limit).Taken)
 	is.True(d.Take(noon.Add(4*time.Second), "a", 10, limit).Taken)
 	is.Equal(len(d.Ended(noon.Add(5*time.Second))), 0)
 	is.Equal(d.Ended(noon.Add(9*time.Second)), []string{"a"})
 }
 
-// TestAFloodOfALargeAccountGetsItsLimit: what lies within the limit is served during a
-// flood too.
+// Requests within the limit are served during a flood too.
 func TestAFloodOfALargeAccountGetsItsLimit(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 300000, Burst: 300000}
-	w := newWorld(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 4)))
+	w := newSimulation(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 4)))
 	for range 2000 {
 		w.advance()
 		w.flood("a", limit, 6)
@@ -225,20 +223,19 @@
 func TestARequestLargerThanTheBurstIsServedAndPaidForAfterwards(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 100, Burst: 50}
-	d := NewDivider(testTerms(), noon, nil, nil, Known{})
+	d := NewAllocator(testTerms(), noon, nil, nil, PriorUsage{})
 	is.True(d.Take(noon.Add(2*time.Second), "a", 90, limit).Taken)
 	answer := d.Take(noon.Add(2*time.Second), "a", 10, limit)
 	is.True(!answer.Taken)
-	is.Equal(answer.Wait, 500*time.Millisecond) // 40 owed and 10 wanted at 100 a second
+	is.Equal(answer.Wait, 500*time.Millisecond) // 40 owed and 10 requested at 100 a second
 }
 
-// TestANewDividerRaisesNoShareBeforeAllAreKnown: a holder that it has not heard may spend
-// what an earlier divider gave it.
-func TestANewDividerRaisesNoShareBeforeAllAreKnown(t *testing.T) {
+// A holder that has not reported may still spend what an earlier allocator leased to it.
+func TestANewAllocatorRaisesNoShareBeforeAllHoldersReport(t *testing.T) {
 	is := is.New(t)
 	terms := testTerms()
 	limit := func(string) (Limit, bool) { return Limit{Rate: 1000, Burst: 1000}, true }
-	d := NewDivider(terms, noon, []string{"x", "y"}, nil, Known{})
+	d := NewAllocator(terms, noon, []string{"x", "y"}, nil, PriorUsage{})
 	report := Report{Holder: "x", Life: 1, Sequence: 1, Shares: []Share{{Account: "a", Rate: 200, Demand: 900, Typical: 10}}}
 	is.Equal(d.Report(noon.Add(time.Second), report, limit)[0].Rate, 200.0)
 	report.Sequence++
@@ -246,10 +243,10 @@
 	is.Equal(d.Report(later, report, limit)[0].Rate, 750.0)
 }
 
-func TestAnOlderReportSaysNothing(t *testing.T) {
+func TestAnOlderReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	limit := func(string) (Limit, bool) { return Limit{Rate: 1000, Burst: 1000}, true }
-	d := NewDivider(testTerms(), noon, nil, nil, Known{})
+	d := NewAllocator(testTerms(), noon, nil, nil, PriorUsage{})
 	shares := []Share{{Account: "a", Demand: 100, Typical: 10}}
 	is.Equal(len(d.Report(noon, Report{Holder: "x", Life: 1, Sequence: 2, Shares: shares}, limit)), 1)
 	is.Equal(len(d.Report(noon, Report{Holder: "x", Life: 1, Sequence: 1, Shares: shares}, limit)), 0)
@@ -281,7 +278,7 @@
 	is.True(!taken)
 	_, taken = g.Take(noon.Add(time.Second), "a", 3)
 	is.True(!taken)
-	g.SetEmpty("a", noon.Add(time.Second), 3*time.Second)
-	is.Equal(g.Empty(noon, "a"), 3*time.Second)
-	is.Equal(g.Empty(noon.Add(time.Second), "a"), time.Duration(0))
+	g.SetExhausted("a", noon.Add(time.Second), 3*time.Second)
+	is.Equal(g.ExhaustedWait(noon, "a"), 3*time.Second)
+	is.Equal(g.ExhaustedWait(noon.Add(time.Second), "a"), time.Duration(0))
 }
--- a/src/quota/terms.go
+++ b/src/quota/terms.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// Terms say how exactly limits are kept; every process has the same.
+// Terms are the parameters of the limits; every process has the same.
 type Terms struct {
 	// Window is the span over which use is counted.
 	Window time.Duration
-	// Overage is the part of a limit over the window by which use may exceed it, Slack
-	// what may come on top, in units.
+	// Overage is the part of a limit over the window by which use may exceed it, and Slack the
+	// units that may come on top.
 	Overage float64
 	Slack   float64
-	// Lease is how long a holder may use a share without hearing from the divider.
+	// Lease is how long a holder may use a share without hearing from the allocator.
 	Lease time.Duration
 	// Life is how long a grant may be spent.
 	Life time.Duration
 }
 
-// The bounds of the terms' times.
+// Limits of the lease and of a grant's life.
 const (
-	// lease keeps an availability zone that is cut off at work for a while; it is below the
-	// 2.5 s after which a silent control node loses its membership, so that a new leader
-	// never counts without a holder that still spends.
-	lease = 2400 * time.Millisecond
-	// longestLife is more than an exchange between availability zones takes with a control
-	// node that is busy.
-	longestLife = 400 * time.Millisecond
-	// shortestLife lets a grant reach its request where no overage is allowed.
-	shortestLife = 100 * time.Millisecond
+	// leaseDuration lets an availability zone that is cut off keep working for a while. It is below
+	// the 2.5 s after which a silent control node loses its membership, so that a new leader always
+	// counts every holder that may still spend.
+	leaseDuration = 2400 * time.Millisecond
+	// maxGrantTTL is longer than a round trip between availability zones takes with a busy control
+	// node.
+	maxGrantTTL = 400 * time.Millisecond
+	// minGrantTTL lets a grant reach its request where no overage is allowed.
+	minGrantTTL = 100 * time.Millisecond
 )
 
-// NewTerms returns the terms for use that is counted over a window. Half of the overage is
-// for grants under way.
+// NewTerms returns the terms for a window. Half of the overage is reserved for grants that are
+// still unspent.
 func NewTerms(window time.Duration, overage, slack float64) Terms {
 	half := time.Duration(float64(window) * overage / 2)
 	return Terms{
 		Window:  window,
 		Overage: overage,
 		Slack:   slack,
-		Lease:   lease,
-		Life:    min(max(half, shortestLife), longestLife),
+		Lease:   leaseDuration,
+		Life:    min(max(half, minGrantTTL), maxGrantTTL),
 	}
 }
 
-// saved returns how many units all holders together may save of an account: a third of
-// what may exceed the limit beyond the grants under way. Another third is for what holders
-// give back of the time before a window; the last one for clocks that run apart and for a
-// request larger than the burst.
-func (t *Terms) saved(limit Limit) float64 {
+// maxSaved returns how many units of an account all holders together may save. It is a third of the
+// allowed excess that is left after unspent grants. Another third covers units that holders give
+// back from before a window, the last one clock drift and requests larger than the burst.
+func (t *Terms) maxSaved(limit Limit) float64 {
 	over := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
 	return max(over-limit.Rate*t.Life.Seconds(), 0) / 3
 }
 
-// Limit is how much an account may use over all.
+// Limit is how much an account may use over all gateways.
 type Limit struct {
 	// Rate is in units a second.
 	Rate float64
-	// Burst is what may come on top, in units.
+	// Burst is how many units may come on top.
 	Burst float64
 }
--- /dev/null
+++ b/src/quota/usage.go
@@ -0,0 +1,102 @@
+package quota
+
+import (
+	"sort"
+	"time"
+)
+
+const (
+	// usageCells is the number of parts of the window in a usage report.
+	usageCells = 8
+	// maxUsageAccounts is how many accounts, those with the highest use, an allocator reports: a
+	// few kilobytes for each reply.
+	maxUsageAccounts = 64
+)
+
+// Usage is what an allocator tells holders of an account's use, so that the next allocator need not
+// assume the worst.
+type Usage struct {
+	Account string
+	// Used is the use in equal parts of the window plus one grant's life, the newest first.
+	Used []float64
+	// Level is the level of the account's bucket, Extended how much of its extension was used.
+	Level    float64
+	Extended float64
+}
+
+// PriorUsage is the usage that an allocator last reported to a holder. The zero value means that
+// nothing was reported.
+type PriorUsage struct {
+	usage map[string]Usage
+	// complete is set if all accounts that were not reported had used nothing.
+	complete bool
+	// requestedAt and receivedAt are when the holder sent its request and received the reply.
+	requestedAt time.Time
+	receivedAt  time.Time
+}
+
+// NewPriorUsage returns the usage from a reply, with the times of the request and the reply.
+func NewPriorUsage(requestedAt, receivedAt time.Time, usage []Usage, complete bool) PriorUsage {
+	k := PriorUsage{usage: make(map[string]Usage, len(usage)), complete: complete, requestedAt: requestedAt, receivedAt: receivedAt}
+	for _, u := range usage {
+		k.usage[u.Account] = u
+	}
+	return k
+}
+
+// of returns the usage of an account, false if it is unknown.
+func (k *PriorUsage) of(account string, limit Limit) (Usage, bool) {
+	usage, found := k.usage[account]
+	if !found && k.complete && !k.receivedAt.IsZero() {
+		return Usage{Account: account, Level: limit.Burst}, true
+	}
+	return usage, found
+}
+
+// Usage returns the use of the accounts, and whether it covers all accounts.
+func (d *Allocator) Usage(now time.Time) (usage []Usage, complete bool) {
+	for name, a := range d.accounts {
+		d.updateUnleased(now, a)
+		usage = append(usage, Usage{
+			Account:  name,
+			Used:     a.spent.parts(now, usageCells),
+			Level:    max(a.unleased.level, 0),
+			Extended: a.extension.used.used(now),
+		})
+	}
+	if len(usage) <= maxUsageAccounts {
+		return usage, true
+	}
+	sort.Slice(usage, func(i, j int) bool { return sum(usage[i].Used) > sum(usage[j].Used) })
+	return usage[:maxUsageAccounts], false
+}
+
+func sum(values []float64) float64 {
+	total := 0.0
+	for _, value := range values {
+		total += value
+	}
+	return total
+}
+
+// restoreUsage initializes an account from the usage that an earlier allocator reported, assuming
+// the worst that is consistent with it. All that may have been used since counts as used now.
+func (d *Allocator) restoreUsage(a *account, name string) {
+	recorded := d.recordedExtensions[name]
+	usage, known := d.known.of(name, a.limit)
+	if !known {
+		// The use beyond the rate that an earlier allocator granted has to be recovered first.
+		a.unleased.level = -recorded
+		a.extension.blockedUntil = d.began.Add(a.spent.span)
+		return
+	}
+	part := a.spent.span / usageCells
+	for i := len(usage.Used) - 1; i >= 0; i-- {
+		a.spent.add(d.known.receivedAt.Add(-time.Duration(i)*part), usage.Used[i])
+	}
+	since := d.began.Sub(d.known.requestedAt).Seconds()
+	// Units given back by holders may have been maxSaved since, too.
+	maxSaved := usage.Level + d.terms.maxSaved(a.limit)
+	a.spent.add(d.began, max(since, 0)*a.limit.Rate+maxSaved+max(recorded-usage.Extended, 0))
+	a.extension.used.add(d.began, max(recorded, usage.Extended))
+}
