--- a/src/ratelimit/doc.go
+++ b/src/ratelimit/doc.go
@@ -1,14 +1,15 @@
-// Package ratelimit issues permits for requests to backend servers that take only so many requests a
-// second over all gateways: those that are cold, and those that name a limit in their answers.
+// Package ratelimit issues permits for requests to backend servers that accept only a certain
+// number of requests a second from all gateways: cold ones, and those that announce a limit in
+// their answers.
 //
-// One issuer, the leader of the control nodes, spaces the permits of each backend server. A gateway
-// asks it for each request that had better go there, waits for the permit's time and uses it within a
-// short while, by the time at which it asked, so that late answers, suspended hosts and a change of
-// leaders add next to nothing to what a few seconds see.
+// The leader of the control nodes is the only issuer; it spaces the permits of each backend server.
+// A gateway asks for a permit for each request, waits for the permit's time and uses it within
+// Life, counted from when it asked. Late answers, suspended hosts and leader changes therefore add
+// little to the number of requests in any few seconds.
 //
-// The issuer also keeps which limit is in force, by the words of backend servers that gateways tell it
-// with their asks. Words are ordered by the permits of the requests that they answer, not by clocks.
+// The issuer also keeps the limit in force, as reported by gateways with their requests for
+// permits. Reports are ordered by the permits of the requests that were answered, not by clocks.
 //
-// Where no issuer answers, each control node and each gateway has a small fixed share of the rate, so
-// that the sum over all parts of a divided installation stays within the bound.
+// Where no issuer answers, each control node and each gateway has a small fixed share of the rate,
+// so that the total over all parts of a partitioned installation stays within the bound.
 package ratelimit
--- a/src/ratelimit/issuer.go
+++ b/src/ratelimit/issuer.go
@@ -9,55 +9,57 @@
 )
 
 const (
-	// forgetAfter is for how long a schedule is kept that nobody asks for.
-	forgetAfter = 10 * time.Second
-	// urgentFor is for how long less urgent requests make way after a more urgent one has asked.
-	urgentFor = time.Second
-	// forgetLimit is for how long a limit is kept that nobody asks about. Gateways keep it and tell
-	// it again.
-	forgetLimit = 10 * time.Minute
+	// scheduleTTL is how long an unused schedule is kept.
+	scheduleTTL = 10 * time.Second
+	// priorityWindow is how long requests of lower priority yield after one of higher priority.
+	priorityWindow = time.Second
+	// limitTTL is how long a limit is kept that nobody asks about. Gateways keep it and report it
+	// again.
+	limitTTL = 10 * time.Minute
 )
 
-// Leadership is what an issuer has to know of its control node.
+// Leadership is the state of the issuer's control node.
 type Leadership struct {
-	// Self is set while the node leads with a valid lease, in Term since Since.
+	// Self is set while the node leads with a valid lease; it became the leader of Term at Since.
 	Self  bool
 	Term  uint64
 	Since time.Time
 }
 
-// Ask is a gateway's ask for a permit for one request.
+// Ask is a gateway's request for a permit for one request.
 type Ask struct {
 	Server string
-	// Cold is how many requests a second the backend server bears because it is cold, 0 if it is not
-	// or if that bounds nothing.
+	// Cold is the number of requests a second that a cold backend server accepts, 0 if it is not
+	// cold or has no such limit.
 	Cold float64
 	Word Word
-	// Within is how long the request waits at the most; below 0 for a gateway that only tells.
+	// Within is the longest time that the request can wait; below 0 if the gateway only reports a
+	// limit.
 	Within time.Duration
-	// Priority is the request's, 0 for the most urgent.
+	// Priority is the request's priority, 0 for the most urgent.
 	Priority int
 }
 
-// Answer says what became of an ask.
+// Answer is the issuer's reply to an Ask.
 type Answer struct {
-	// Known is false if this node must not issue.
+	// Known is false if this node may not issue permits.
 	Known   bool
 	Granted bool
-	// Wait is after how long the permit may be used, or would have been usable if it was refused.
+	// Wait is the time until the permit may be used, or until it could have been if it was refused.
 	Wait time.Duration
-	// State is the limit in force as of Version of Term; Permit is the number of what was granted.
+	// State is the limit in force as of Version in Term; Permit is the number of the granted
+	// permit.
 	State   State
 	Term    uint64
 	Version uint64
 	Permit  uint64
 }
 
-// Change is a limit that has changed.
+// Change describes a change of a limit.
 type Change struct {
 	Server        string
 	Before, After State
-	// Age is how long the one before was in force.
+	// Age is how long the limit before was in force.
 	Age time.Duration
 }
 
@@ -68,47 +70,48 @@
 // Issuer issues permits while its control node leads; it is safe for concurrent use.
 type Issuer struct {
 	leadership func() Leadership
-	// changed learns of limits that have changed; it must not block.
-	changed func(Change)
+	// onChange is called for each change of a limit; it must not block.
+	onChange func(Change)
 
-	mu      sync.Mutex
-	term    uint64
-	version uint64
-	permits uint64
-	servers map[string]*server
-	swept   time.Time
+	mu         sync.Mutex
+	term       uint64
+	version    uint64
+	lastPermit uint64
+	servers    map[string]*server
+	lastSweep  time.Time
 }
 
-// server is what an issuer keeps of one backend server.
+// server is the issuer's state of one backend server.
 type server struct {
 	schedule schedule
-	limit    knowledge
-	// since is since when the limit is in force, asked when somebody asked last.
-	since, asked time.Time
-	// urgent is the most urgent priority that asked lately, at urgentAt.
-	urgent   int
-	urgentAt time.Time
-}
-
-// horizon is how far ahead a request may be given a permit. One that is less urgent than others that
-// asked lately looks less far, so that the permits go to those where there are too few.
-func (s *server) horizon(now time.Time, ask Ask) time.Duration {
-	if ask.Priority <= s.urgent || now.Sub(s.urgentAt) > urgentFor {
-		s.urgent, s.urgentAt = ask.Priority, now
+	limit    knownLimit
+	// limitSince is when the limit came into force, lastRequest the time of the last request for a
+	// permit.
+	limitSince, lastRequest time.Time
+	// topPriority is the highest priority requested recently, at topPriorityAt.
+	topPriority   int
+	topPriorityAt time.Time
+}
+
+// maxWait returns how far ahead a request may get a permit. Requests of lower priority than others
+// seen recently look less far ahead, so that scarce permits go to the more urgent ones.
+func (s *server) maxWait(now time.Time, ask Ask) time.Duration {
+	if ask.Priority <= s.topPriority || now.Sub(s.topPriorityAt) > priorityWindow {
+		s.topPriority, s.topPriorityAt = ask.Priority, now
 	}
-	return min(ask.Within, Ahead/time.Duration(1+ask.Priority-s.urgent))
+	return min(ask.Within, Ahead/time.Duration(1+ask.Priority-s.topPriority))
 }
 
-// NewIssuer returns an issuer that has issued nothing; changed may be nil.
-func NewIssuer(leadership func() Leadership, changed func(Change)) *Issuer {
-	if changed == nil {
-		changed = func(Change) {}
+// NewIssuer returns an issuer without limits or permits; onChange may be nil.
+func NewIssuer(leadership func() Leadership, onChange func(Change)) *Issuer {
+	if onChange == nil {
+		onChange = func(Change) {}
 	}
-	return &Issuer{leadership: leadership, changed: changed, servers: map[string]*server{}}
+	return &Issuer{leadership: leadership, onChange: onChange, servers: map[string]*server{}}
 }
 
-// Take takes in what a gateway tells and takes a permit for its request. A backend server that is
-// neither cold nor limited needs none: it is granted at once.
+// Take processes the limit that a gateway reports and issues a permit for its request. A backend
+// server that is neither cold nor limited needs no permits, so the request is granted at once.
 func (i *Issuer) Take(now time.Time, ask Ask) Answer {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -120,11 +123,11 @@
 	i.sweep(now)
 	s, found := i.servers[ask.Server]
 	if !found {
-		s = &server{since: now}
+		s = &server{limitSince: now}
 		i.servers[ask.Server] = s
 	}
-	s.asked = now
-	i.learn(now, ask, s)
+	s.lastRequest = now
+	i.observe(now, ask, s)
 	answer := Answer{Known: true, State: s.limit.state, Term: i.term, Version: i.version}
 	p, bounded := s.pace(ask.Cold)
 	if !bounded || ask.Within < 0 {
@@ -132,41 +135,43 @@
 		return answer
 	}
 	if s.schedule.next.IsZero() {
-		s.schedule.begin(later(now, lead.Since.Add(Ahead)), p)
+		s.schedule.reset(later(now, lead.Since.Add(Ahead)), p)
 	}
-	answer.Wait, answer.Granted = s.schedule.take(now, p, s.horizon(now, ask))
+	answer.Wait, answer.Granted = s.schedule.take(now, p, s.maxWait(now, ask))
 	if answer.Granted {
-		i.permits++
-		answer.Permit = i.permits
+		i.lastPermit++
+		answer.Permit = i.lastPermit
 	}
 	return answer
 }
 
-// lead begins a term: the permits and limits of the one before are unknown. The lock is held.
+// lead resets the state in a new term, since the permits and limits of the previous leader are
+// unknown. The lock is held.
 func (i *Issuer) lead(term uint64) {
 	if term == i.term {
 		return
 	}
-	i.term, i.version, i.permits = term, 0, 0
+	i.term, i.version, i.lastPermit = term, 0, 0
 	clear(i.servers)
 }
 
-// learn takes in what a gateway tells; the lock is held.
-func (i *Issuer) learn(now time.Time, ask Ask, s *server) {
+// observe processes the limit that a gateway reports; the lock is held.
+func (i *Issuer) observe(now time.Time, ask Ask, s *server) {
 	before := s.limit.state
-	if !s.limit.take(i.term, i.permits, ask.Word) {
+	if !s.limit.update(i.term, i.lastPermit, ask.Word) {
 		return
 	}
 	i.version++
-	i.changed(Change{Server: ask.Server, Before: before, After: s.limit.state, Age: now.Sub(s.since)})
-	s.since = now
+	i.onChange(Change{Server: ask.Server, Before: before, After: s.limit.state, Age: now.Sub(s.limitSince)})
+	s.limitSince = now
 	if p, bounded := s.pace(ask.Cold); bounded && !before.Limited && !s.schedule.next.IsZero() {
-		// What came before the limit was named is not counted, so no burst comes on top of it.
-		s.schedule.begin(later(now, s.schedule.next), p)
+		// Requests sent before the limit was known are not counted, so no burst is allowed on top
+		// of them.
+		s.schedule.reset(later(now, s.schedule.next), p)
 	}
 }
 
-// pace is how fast the backend server's permits follow each other; bounded is false if it needs none.
+// pace returns the pace of the backend server's permits; bounded is false if it needs none.
 func (s *server) pace(cold float64) (p pace, bounded bool) {
 	switch {
 	case s.limit.state.Limited && cold > 0:
@@ -179,46 +184,47 @@
 	return pace{}, false
 }
 
-// Told is a limit that gateways are told of.
+// Told is the limit of a backend server, as gateways are told of it.
 type Told struct {
 	Server string
 	State  State
 }
 
-// Limits returns the limits in force and those that ended lately, the most lately changed first, at
-// most so many; none while the node does not lead.
-func (i *Issuer) Limits(now time.Time, most int, ended time.Duration) (term, version uint64, limits []Told) {
+// Limits returns the limits in force and those that ended within endedWithin, the most recently
+// changed first and at most maxCount; none while the node does not lead.
+func (i *Issuer) Limits(now time.Time, maxCount int, endedWithin time.Duration) (term, version uint64, limits []Told) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if lead := i.leadership(); !lead.Self || lead.Term != i.term {
 		return 0, 0, nil
 	}
 	for name, s := range i.servers {
-		if s.limit.state.Limited || s.limit.known && now.Sub(s.since) < ended {
+		if s.limit.state.Limited || s.limit.known && now.Sub(s.limitSince) < endedWithin {
 			limits = append(limits, Told{Server: name, State: s.limit.state})
 		}
 	}
 	i.sortByChange(limits)
-	return i.term, i.version, limits[:min(len(limits), most)]
+	return i.term, i.version, limits[:min(len(limits), maxCount)]
 }
 
-// sweep forgets backend servers that nobody asks for; the lock is held.
+// sweep removes backend servers that are no longer used; the lock is held.
 func (i *Issuer) sweep(now time.Time) {
-	if now.Sub(i.swept) < forgetAfter {
+	if now.Sub(i.lastSweep) < scheduleTTL {
 		return
 	}
-	i.swept = now
+	i.lastSweep = now
 	for name, s := range i.servers {
-		idle := now.Sub(s.asked)
-		if now.Sub(s.schedule.next) > forgetAfter && (idle > forgetLimit || idle > forgetAfter && !s.limit.known) {
+		idle := now.Sub(s.lastRequest)
+		if now.Sub(s.schedule.next) > scheduleTTL && (idle > limitTTL || idle > scheduleTTL && !s.limit.known) {
 			delete(i.servers, name)
 		}
 	}
 }
 
-// sortByChange puts the most lately changed limits first; the lock is held.
+// sortByChange sorts limits by the time of their last change, the most recent first; the lock is
+// held.
 func (i *Issuer) sortByChange(limits []Told) {
 	slices.SortFunc(limits, func(a, b Told) int {
-		return cmp.Or(i.servers[b.Server].since.Compare(i.servers[a.Server].since), cmp.Compare(a.Server, b.Server))
+		return cmp.Or(i.servers[b.Server].limitSince.Compare(i.servers[a.Server].limitSince), cmp.Compare(a.Server, b.Server))
 	})
 }
--- a/src/ratelimit/limit_test.go
+++ b/src/ratelimit/limit_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// leads is an issuer whose node leads term 1 since an hour.
-func leads(now time.Time) *Issuer {
+// newLeadingIssuer returns an issuer whose node has led term 1 for an hour.
+func newLeadingIssuer(now time.Time) *Issuer {
 	return NewIssuer(func() Leadership { return Leadership{Self: true, Term: 1, Since: now.Add(-time.Hour)} }, nil)
 }
 
-// TestTheSlowerPaceHolds of a backend server that is cold and limited, and a limit alone has a burst
-// of what it takes in a second, none at first.
-func TestTheSlowerPaceHolds(t *testing.T) {
+// A backend server that is both cold and limited gets permits at the slower pace. A limit alone
+// allows a burst of one second, but none at first.
+func TestTheSlowerPaceApplies(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	count := func(i *Issuer, at time.Time, ask Ask) (granted int) {
@@ -25,21 +25,21 @@
 		return granted
 	}
 	limit := Word{State: limited(5)}
-	i := leads(now)
+	i := newLeadingIssuer(now)
 	is.Equal(count(i, now, Ask{Server: "r", Word: limit}), 1)
 	is.Equal(count(i, now.Add(time.Minute), Ask{Server: "r", Word: limit}), 6)
-	i = leads(now)
+	i = newLeadingIssuer(now)
 	is.Equal(count(i, now, Ask{Server: "r", Word: limit, Cold: 2}), 1)
 	is.Equal(count(i, now.Add(time.Minute), Ask{Server: "r", Word: limit, Cold: 2}), 1)
 	is.Equal(i.Take(now.Add(time.Minute), Ask{Server: "r", Word: limit, Cold: 2}).Wait, 500*time.Millisecond)
 }
 
-// TestALimitOfNothingIsProbed once a second, so that its end is seen.
-func TestALimitOfNothingIsProbed(t *testing.T) {
+// A request is let through once a second, so that the end of the limit is noticed.
+func TestALimitOfZeroIsProbed(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	for _, perSecond := range []float64{0, 0.01, 1} {
-		i, granted := leads(now), 0
+		i, granted := newLeadingIssuer(now), 0
 		for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 			if i.Take(now.Add(at), Ask{Server: "r", Word: Word{State: limited(perSecond)}}).Granted {
 				granted++
@@ -49,11 +49,10 @@
 	}
 }
 
-// TestTheMoreUrgentGetThePermits where there are too few.
-func TestTheMoreUrgentGetThePermits(t *testing.T) {
+func TestUrgentRequestsGetScarcePermits(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	i := leads(now)
+	i := newLeadingIssuer(now)
 	var granted [3]int
 	for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
 		for priority := 2; priority >= 0; priority-- {
@@ -67,11 +66,11 @@
 	is.True(granted[1]+granted[2] <= 20)
 }
 
-// TestTheLessUrgentWaitAsLongWhereNobodyIsMoreUrgent.
-func TestTheLessUrgentWaitAsLongWhereNobodyIsMoreUrgent(t *testing.T) {
+// Low priority reduces the wait only while more urgent requests ask for permits.
+func TestRequestsOfOneLowPriorityWaitTheFullTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	i := leads(now)
+	i := newLeadingIssuer(now)
 	ask := Ask{Server: "r", Word: Word{State: limited(2)}, Within: Ahead, Priority: 7}
 	is.True(i.Take(now, ask).Granted)
 	urgent := ask
@@ -83,11 +82,10 @@
 	is.Equal(i.Take(now.Add(1200*time.Millisecond), ask).Wait, 300*time.Millisecond)
 }
 
-// TestWhatOnlyTellsTakesNoPermit.
-func TestWhatOnlyTellsTakesNoPermit(t *testing.T) {
+func TestAReportWithoutARequestTakesNoPermit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	i := leads(now)
+	i := newLeadingIssuer(now)
 	for range 5 {
 		got := i.Take(now, Ask{Server: "r", Within: -1, Word: Word{State: limited(2), Heard: true}})
 		is.Equal(got, Answer{Known: true, State: limited(2), Term: 1, Version: 1})
@@ -95,13 +93,14 @@
 	is.True(i.Take(now, Ask{Server: "r"}).Granted)
 }
 
-// TestABurstServesMoreCallers than evenly spaced permits do, of those that come at drawn times at a part
-// of the limit and wait for half a second at the most, and both keep the bound.
+// TestABurstServesMoreCallers checks that permits with a burst serve at least as many callers as
+// evenly spaced ones. Callers arrive at random at a fraction of the limit and wait for at most half
+// a second.
 func TestABurstServesMoreCallers(t *testing.T) {
 	const span = 2000 * time.Second
 	for _, perSecond := range []float64{1, 5, 20} {
 		for _, load := range []float64{0.5, 0.8, 2} {
-			even, burst := servedOf(perSecond, load, span, evenPace(perSecond)), servedOf(perSecond, load, span, limitPace(perSecond))
+			even, burst := servedFraction(perSecond, load, span, evenPace(perSecond)), servedFraction(perSecond, load, span, limitPace(perSecond))
 			t.Logf("limit %g, %g of it asked for: served evenly %.3f, with a burst %.3f", perSecond, load, even, burst)
 			if burst < even || perSecond == 1 && burst == even {
 				t.Errorf("a burst serves no more callers")
@@ -110,12 +109,12 @@
 	}
 }
 
-// servedOf returns the part of the callers that get a permit in time.
-func servedOf(perSecond, load float64, span time.Duration, p pace) float64 {
+// servedFraction returns the fraction of the callers that get a permit in time.
+func servedFraction(perSecond, load float64, span time.Duration, p pace) float64 {
 	random := rand.New(rand.NewPCG(uint64(perSecond), 53))
 	start := time.Unix(1_800_000_000, 0)
 	var s schedule
-	s.begin(start, p)
+	s.reset(start, p)
 	came, served := 0, 0
 	for at := time.Duration(0); at < span; at += time.Duration(random.ExpFloat64() / (load * perSecond) * float64(time.Second)) {
 		came++
--- a/src/ratelimit/word_test.go
+++ b/src/ratelimit/limitstate_test.go
@@ -8,18 +8,18 @@
 
 func limited(perSecond float64) State { return State{Limited: true, PerSecond: perSecond} }
 
-// TestWordsAreOrderedByPermits: of an issuer of term 7 that has issued 20 permits.
+// The issuer is in term 7 and has issued 20 permits.
 func TestWordsAreOrderedByPermits(t *testing.T) {
-	known := func(s State, saidAt uint64) knowledge {
-		return knowledge{state: s, heard: true, saidAt: saidAt, known: true}
+	known := func(s State, sincePermit uint64) knownLimit {
+		return knownLimit{state: s, observed: true, sincePermit: sincePermit, known: true}
 	}
 	for name, c := range map[string]struct {
-		before knowledge
+		before knownLimit
 		word   Word
 		want   State
 	}{
-		"the first one":                                     {knowledge{}, Word{State: limited(5), Heard: true}, limited(5)},
-		"none where none is known":                          {knowledge{}, Word{Heard: true, Term: 7, Permit: 3}, State{}},
+		"the first one":                                     {knownLimit{}, Word{State: limited(5), Heard: true}, limited(5)},
+		"none where none is known":                          {knownLimit{}, Word{Heard: true, Term: 7, Permit: 3}, State{}},
 		"a lower one without a permit":                      {known(limited(5), 10), Word{State: limited(2), Heard: true}, limited(2)},
 		"a higher one without a permit may be older":        {known(limited(5), 10), Word{State: limited(9), Heard: true}, limited(5)},
 		"none without a permit may be older":                {known(limited(5), 10), Word{Heard: true}, limited(5)},
@@ -32,17 +32,17 @@
 		"a lower one to an earlier permit was overtaken":    {known(limited(5), 10), Word{State: limited(1), Heard: true, Term: 7, Permit: 9}, limited(5)},
 		"one after the end":                                 {known(State{}, 10), Word{State: limited(5), Heard: true}, limited(5)},
 		"one from before the end":                           {known(State{}, 10), Word{State: limited(5), Heard: true, Term: 7, Permit: 9}, State{}},
-		"what a gateway knows, where nothing is known":      {knowledge{}, Word{State: limited(5)}, limited(5)},
+		"what a gateway knows, where nothing is known":      {knownLimit{}, Word{State: limited(5)}, limited(5)},
 		"what a gateway knows from before the end":          {known(State{}, 10), Word{State: limited(5)}, State{}},
 		"what a gateway knows from before a higher one":     {known(limited(9), 10), Word{State: limited(5)}, limited(9)},
-		"the lower one of what two gateways know":           {knowledge{state: limited(9), known: true}, Word{State: limited(5)}, limited(5)},
-		"the higher one of what two gateways know":          {knowledge{state: limited(3), known: true}, Word{State: limited(5)}, limited(3)},
-		"an answer after what a gateway knew":               {knowledge{state: limited(3), known: true, saidAt: 4}, Word{State: limited(5), Heard: true, Term: 7, Permit: 5}, limited(5)},
+		"the lower one of what two gateways know":           {knownLimit{state: limited(9), known: true}, Word{State: limited(5)}, limited(5)},
+		"the higher one of what two gateways know":          {knownLimit{state: limited(3), known: true}, Word{State: limited(5)}, limited(3)},
+		"an answer after what a gateway knew":               {knownLimit{state: limited(3), known: true, sincePermit: 4}, Word{State: limited(5), Heard: true, Term: 7, Permit: 5}, limited(5)},
 		"a gateway that knows of none, beside one that did": {known(limited(5), 10), Word{}, limited(5)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := c.before
-			changed := k.take(7, 20, c.word)
+			changed := k.update(7, 20, c.word)
 			if k.state != c.want || changed != (c.before.state != c.want) {
 				t.Errorf("%v is in force, changed %v", k.state, changed)
 			}
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestTheSamePerSecondIsSaidLater: an equal limit moves on to which permits it is compared with.
-func TestTheSamePerSecondIsSaidLater(t *testing.T) {
+// Reports of an unchanged limit still move on the permit that later reports are compared with.
+func TestAnEqualLimitAdvancesItsPermit(t *testing.T) {
 	is := is.New(t)
-	k := knowledge{state: limited(5), heard: true, saidAt: 10, known: true}
-	is.True(!k.take(7, 20, Word{State: limited(5), Heard: true, Term: 7, Permit: 12}))
-	is.True(!k.take(7, 20, Word{Heard: true, Term: 7, Permit: 11})) // was overtaken
-	is.True(k.take(7, 20, Word{Heard: true, Term: 7, Permit: 13}))
+	k := knownLimit{state: limited(5), observed: true, sincePermit: 10, known: true}
+	is.True(!k.update(7, 20, Word{State: limited(5), Heard: true, Term: 7, Permit: 12}))
+	is.True(!k.update(7, 20, Word{Heard: true, Term: 7, Permit: 11})) // was overtaken
+	is.True(k.update(7, 20, Word{Heard: true, Term: 7, Permit: 13}))
 }
--- a/src/ratelimit/standin.go
+++ b/src/ratelimit/standin.go
@@ -6,102 +6,106 @@
 )
 
 const (
-	// controlShare and gatewayShare are the parts of a rate that all control nodes, and all gateways,
-	// have together without an issuer. At most half of the control nodes are parted from an issuer
-	// that goes on at the full rate, so that all parts together have at most one and a half times it.
+	// controlShare and gatewayShare are the parts of a rate that all control nodes, and all
+	// gateways, have together without an issuer. At most half of the control nodes are cut off from
+	// an issuer that goes on at the full rate, so that the total is at most one and a half times
+	// the rate.
 	controlShare = 0.5
 	gatewayShare = 0.25
-	// longestSpacing bounds the time between two permits of a stand-in.
-	longestSpacing = time.Hour
+	// maxSpacing is the longest time between two permits of a StandIn.
+	maxSpacing = time.Hour
 )
 
-// ControlShare returns the part of a rate that one of so many control nodes has without an issuer.
+// ControlShare returns the part of a rate that one of members control nodes has without an issuer.
 func ControlShare(members int) float64 { return controlShare / float64(max(members, 1)) }
 
-// GatewayShare returns the part of a rate that one of so many gateways has without an issuer.
+// GatewayShare returns the part of a rate that one of that many gateways has without an issuer.
 func GatewayShare(gateways int) float64 { return gatewayShare / float64(max(gateways, 1)) }
 
 // StandIn issues permits for a fixed share of each rate where no issuer answers; it is safe for
-// concurrent use. Its permits have no number: what answers to them say is no later than anything.
+// concurrent use. Its permits have no number, so that limits in the answers to them are never taken
+// to be newer than known ones.
 //
-// Permits come at fixed times, a drawn part of the spacing apart from those of other stand-ins, and one
-// that is not used within Life is lost. All stand-ins begin together when the leader is lost: if unused
-// permits were kept, as many requests would go at once as there are stand-ins.
+// The permits of each StandIn come at fixed times with a random phase, and a permit that is not
+// used within Life is lost. All of them start together when the leader is lost, and if unused
+// permits were kept, as many requests would be sent at once as there are processes.
 type StandIn struct {
-	// draw returns a number from 0 to 1.
-	draw func() float64
+	// random returns a number from 0 to 1.
+	random func() float64
 
-	mu      sync.Mutex
-	servers map[string]*slots
-	swept   time.Time
+	mu        sync.Mutex
+	servers   map[string]*slotSchedule
+	lastSweep time.Time
 }
 
-// slots are the times of one backend server's permits.
-type slots struct {
-	// phase is the part of the spacing by which they are moved, used the time of the last one used.
-	phase float64
-	used  time.Time
-	asked time.Time
+// slotSchedule holds the permit times of one backend server.
+type slotSchedule struct {
+	// phase is the offset of the slots as a part of the spacing, lastUsed the time of the last used
+	// slot.
+	phase       float64
+	lastUsed    time.Time
+	lastRequest time.Time
 }
 
-// NewStandIn returns a stand-in that has issued nothing; draw returns a number from 0 to 1.
-func NewStandIn(draw func() float64) *StandIn {
-	return &StandIn{draw: draw, servers: map[string]*slots{}}
+// NewStandIn returns a StandIn that has issued no permits; random returns a number from 0 to 1.
+func NewStandIn(random func() float64) *StandIn {
+	return &StandIn{random: random, servers: map[string]*slotSchedule{}}
 }
 
-// Take takes a permit by what the gateway itself knows.
+// Take takes a permit based on the limit that the gateway knows, at a share of the rate.
 func (s *StandIn) Take(now time.Time, ask Ask, share float64) Answer {
-	known := server{limit: knowledge{state: ask.Word.State}}
+	known := server{limit: knownLimit{state: ask.Word.State}}
 	p, bounded := known.pace(ask.Cold)
 	if !bounded || ask.Within < 0 {
 		return Answer{}
 	}
 	if ask.Cold > 0 {
-		// What a cold one gets is held over a second, in which a permit's life counts for more.
+		// The bound of a cold backend server applies over one second, in which the life of a permit
+		// weighs more.
 		share /= 2
 	}
-	spacing := min(time.Duration(float64(p.spacing)/share), longestSpacing)
+	spacing := min(time.Duration(float64(p.spacing)/share), maxSpacing)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep(now)
-	one, found := s.servers[ask.Server]
+	slots, found := s.servers[ask.Server]
 	if !found {
-		one = &slots{phase: s.draw()}
-		s.servers[ask.Server] = one
+		slots = &slotSchedule{phase: s.random()}
+		s.servers[ask.Server] = slots
 	}
-	one.asked = now
-	wait, granted := one.take(now, spacing, min(ask.Within, Ahead))
+	slots.lastRequest = now
+	wait, granted := slots.take(now, spacing, min(ask.Within, Ahead))
 	return Answer{Known: true, Granted: granted, Wait: wait, State: ask.Word.State}
 }
 
-// take takes the present slot if it is not over and not used, or the next one if it comes within a
-// time; wait is how long until it comes.
-func (s *slots) take(now time.Time, spacing, within time.Duration) (wait time.Duration, taken bool) {
+// take takes the present slot if it is still valid and unused, or the next one if it comes within a
+// duration; wait is the time until then.
+func (s *slotSchedule) take(now time.Time, spacing, within time.Duration) (wait time.Duration, taken bool) {
 	began := now.Add(-time.Duration((now.UnixNano() - int64(s.phase*float64(spacing))) % int64(spacing)))
-	if now.Sub(began) < Life && began.After(s.used) {
-		s.used = began
+	if now.Sub(began) < Life && began.After(s.lastUsed) {
+		s.lastUsed = began
 		return 0, true
 	}
 	next := began.Add(spacing)
-	for !next.After(s.used) {
+	for !next.After(s.lastUsed) {
 		next = next.Add(spacing)
 	}
 	wait = next.Sub(now)
 	if wait > within {
 		return wait, false
 	}
-	s.used = next
+	s.lastUsed = next
 	return wait, true
 }
 
-// sweep forgets backend servers that nobody asks for; the lock is held.
+// sweep removes backend servers that are no longer used; the lock is held.
 func (s *StandIn) sweep(now time.Time) {
-	if now.Sub(s.swept) < forgetAfter {
+	if now.Sub(s.lastSweep) < scheduleTTL {
 		return
 	}
-	s.swept = now
-	for name, one := range s.servers {
-		if now.Sub(one.asked) > forgetLimit {
+	s.lastSweep = now
+	for name, slots := range s.servers {
+		if now.Sub(slots.lastRequest) > limitTTL {
 			delete(s.servers, name)
 		}
 	}
--- a/src/ratelimit/standin_test.go
+++ b/src/ratelimit/standin_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// TestAllStandInsTogetherKeepWithinTheirShares: control nodes that are parted from the leader and
-// gateways that nobody answers, beside the issuer.
-func TestAllStandInsTogetherKeepWithinTheirShares(t *testing.T) {
+// Control nodes and gateways without a leader together stay within half of the rate, beside an
+// issuer.
+func TestFallbackIssuersStayWithinTheirShares(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	const rate, span = 40.0, 60
 	draw := rand.New(rand.NewPCG(1, 52)).Float64
-	parted := func(share float64, count int) (granted int) {
+	grantedBy := func(share float64, count int) (granted int) {
 		for range count {
 			s := NewStandIn(draw)
 			for at := time.Duration(0); at < span*time.Second; at += 10 * time.Millisecond {
@@ -26,6 +26,6 @@
 		}
 		return granted
 	}
-	is.True(float64(parted(ControlShare(5), 2)+parted(GatewayShare(30), 30)) <= rate*span/2)
-	is.True(float64(parted(ControlShare(5), 5)) >= 0.9*rate*span/2)
+	is.True(float64(grantedBy(ControlShare(5), 2)+grantedBy(GatewayShare(30), 30)) <= rate*span/2)
+	is.True(float64(grantedBy(ControlShare(5), 5)) >= 0.9*rate*span/2)
 }
