--- a/src/quarantine/digest.go
+++ b/src/quarantine/digest.go
@@ -9,37 +9,37 @@
 	"github.com/pkg/errors"
 )
 
-// digestBytes is the length of a digest: nobody finds two requests with the same 128 bits.
+// digestBytes is the length of a digest. Finding two requests with the same 128 bits is infeasible.
 const digestBytes = 16
 
-// shownBytes is how much of a digest logs show: enough to tell the requests of a day apart,
-// too little to confirm a guess of what a request held.
+// shownBytes is how much of a digest logs show: enough to tell the requests of a day apart, too
+// little to confirm a guess of what a request contained.
 const shownBytes = 4
 
-// Digest names what a request asks for: the same for every request of a client account with
-// the same method, host, path, query and body.
+// Digest identifies a content. It is equal for all requests of a client account with the same
+// method, host, path, query and body.
 type Digest [digestBytes]byte
 
-// Content is what a digest is made of. Which model runs the request is not among it: one that
-// ends the replicas of a model must not come back under another model's name.
+// Content is the input of a digest. It leaves out the model, so that a request that crashes the
+// replicas of one model is not accepted under the name of another.
 type Content struct {
 	// Account is the client account's name, "" without one.
 	Account string
 	Method  string
 	Host    string
-	// Target is the path and query as the client wrote them.
+	// Target is the path and query as sent by the client.
 	Target string
 	Body   []byte
 }
 
-// Digest returns the content's digest. Each part goes in with its length, so that no two
-// contents run together.
+// Digest returns the content's digest. Each part is hashed with its length, so that different
+// contents never give the same input.
 func (c Content) Digest() Digest {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(c.Account), []byte(c.Method), []byte(c.Host), []byte(c.Target), c.Body} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		// A hash takes every byte.
+		// A hash never returns an error.
 		_, _ = h.Write(length[:])
 		_, _ = h.Write(part)
 	}
@@ -48,10 +48,10 @@
 	return d
 }
 
-// MarshalText writes the whole digest.
+// MarshalText encodes the whole digest.
 func (d Digest) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, d[:]), nil }
 
-// UnmarshalText reads a whole digest.
+// UnmarshalText decodes a whole digest.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if len(text) != 2*digestBytes {
 		return errors.Errorf("a digest has %d hexadecimal digits, not %d", 2*digestBytes, len(text))
@@ -60,7 +60,7 @@
 	return errors.Wrap(err, "reading a digest")
 }
 
-// Begins reports whether the digest, in hexadecimal digits, begins with a text.
+// Begins reports whether the digest in hexadecimal digits begins with text.
 func (d Digest) Begins(text string) bool {
 	return text != "" && strings.HasPrefix(hex.EncodeToString(d[:]), text)
 }
--- a/src/quarantine/digest_test.go
+++ b/src/quarantine/digest_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestDigestTellsContentsApart: every part counts, and no part runs into the next.
-func TestDigestTellsContentsApart(t *testing.T) {
+// Each part changes the digest, and parts do not run into each other.
+func TestDifferentContentsHaveDifferentDigests(t *testing.T) {
 	is := is.New(t)
 	base := Content{Account: "a", Method: "POST", Host: "h", Target: "/p", Body: []byte("body")}
 	is.Equal(base.Digest(), base.Digest())
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkDigest is what each request pays, at the size of the users' prompts.
+// BenchmarkDigest measures the cost for each request at the usual size of prompts.
 func BenchmarkDigest(b *testing.B) {
 	content := Content{Method: "POST", Host: "a.example", Target: "/secu170/de72/17/e851", Body: make([]byte, 1500)}
 	b.ReportAllocs()
--- a/src/quarantine/doc.go
+++ b/src/quarantine/doc.go
@@ -1,12 +1,12 @@
-// Package quarantine keeps requests that end the replicas that run them away from further
+// Package quarantine keeps requests that crash the replicas that run them away from further
 // replicas, on all gateways together.
 //
-//	gateway ── ends under a content ──▶ control node ◀──▶ other control nodes
-//	        ◀── contents under suspicion ──┘
+//	gateway ── failures with a content ──▶ control node ◀──▶ other control nodes
+//	        ◀──── suspected contents ────────┘
 //
-// A content is what a request asks for, whatever its ID; its digest is all that is kept of it.
-// The ends of replicas under a content add up until a run of it comes to a good end, which
-// clears it. After Threshold ends it is quarantined: no gateway sends it any more. Tables merge
-// in any order and any number of times to the same, so that each process may go on by itself
-// while it is cut off.
+// A content is what a request asks for, whatever its ID; only its digest is kept. A failure is the
+// end of a replica that was running requests with the content. Failures add up until a request with
+// the content completes, which clears it. After Threshold failures the content is quarantined: no
+// gateway sends it any more. Tables can be merged in any order and any number of times with the
+// same result, so that each process can go on by itself while it is disconnected.
 package quarantine
--- a/src/quarantine/guard.go
+++ b/src/quarantine/guard.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// The bounds of what a gateway remembers of runs that came to a good end.
+// Limits of the memory of completed requests.
 const (
-	// recentFor is for how long after a good end the ends of replicas are not put down to a
-	// content. One that many callers send is under way on every replica that ever ends; it has
-	// come to a good end somewhere in this time. Without it eight of 100 simulated fleets that
-	// lost half of their replicas four times refused more than one in 1,000 of such requests.
-	recentFor = 10 * time.Second
-	// recentSlots is the number of good ends that are remembered; a newer one takes the place
-	// of another content's: 100 KB.
-	recentSlots = 4096
-	// recentBody is the longest body that is remembered: what many callers send alike is
-	// short, and a digest of 64 KB takes some 50 microseconds.
-	recentBody = 64 << 10
+	// successTTL is how long after a request completed replica failures are not attributed to its
+	// content. A content that many callers send is running on every replica that fails, and has
+	// completed somewhere within this time. Without it eight of 100 simulated fleets that lost half
+	// of their replicas four times refused more than one in 1,000 of such requests.
+	successTTL = 10 * time.Second
+	// successSlots is the number of completed contents remembered; a newer one may replace another.
+	// They take 100 KB.
+	successSlots = 4096
+	// maxTrackedBody is the longest body that is remembered: requests that many callers send alike
+	// are short, and a digest of 64 KB takes some 50 microseconds.
+	maxTrackedBody = 64 << 10
 )
 
-// recent remembers the contents that came to a good end lately.
-type recent struct {
+// recentSuccesses remembers the contents that completed recently.
+type recentSuccesses struct {
 	mu    sync.Mutex
-	slots []goodEnd
+	slots []success
 }
 
-type goodEnd struct {
+type success struct {
 	digest Digest
 	at     time.Time
 }
 
-func (r *recent) slot(digest Digest) *goodEnd {
+func (r *recentSuccesses) slot(digest Digest) *success {
 	return &r.slots[(int(digest[0])<<8|int(digest[1]))%len(r.slots)]
 }
 
-func (r *recent) note(now time.Time, digest Digest) {
+func (r *recentSuccesses) add(now time.Time, digest Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	*r.slot(digest) = goodEnd{digest: digest, at: now}
+	*r.slot(digest) = success{digest: digest, at: now}
 }
 
-func (r *recent) within(now time.Time, digest Digest) bool {
+func (r *recentSuccesses) contains(now time.Time, digest Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	good := r.slot(digest)
-	return good.digest == digest && now.Sub(good.at) < recentFor
+	last := r.slot(digest)
+	return last.digest == digest && now.Sub(last.at) < successTTL
 }
 
-// Guard is a gateway's table with what it knows of good ends; it is safe for concurrent use.
+// Guard combines a gateway's table with its recently completed contents; it is safe for concurrent
+// use.
 type Guard struct {
 	*Table
-	recent recent
+	recentSuccesses recentSuccesses
 }
 
-// NewGuard returns a guard with a table.
+// NewGuard returns a guard for a table.
 func NewGuard(table *Table) *Guard {
-	return &Guard{Table: table, recent: recent{slots: make([]goodEnd, recentSlots)}}
+	return &Guard{Table: table, recentSuccesses: recentSuccesses{slots: make([]success, successSlots)}}
 }
 
-// Remembered reports whether good ends with bodies of a length are remembered.
-func (g *Guard) Remembered(bytes int) bool { return bytes <= recentBody || !g.Empty() }
+// Remembered reports whether completed requests with bodies of that length are remembered.
+func (g *Guard) Remembered(bytes int) bool { return bytes <= maxTrackedBody || !g.Empty() }
 
-// Ended takes in that a replica ended with requests under way, and returns the contents that it
-// is put down to: those that did not come to a good end lately.
-func (g *Guard) Ended(now time.Time, replica string, under []Digest) []Digest {
+// Ended records that a replica ended while it ran requests with the given contents. It returns the
+// contents that the failure is attributed to: those that did not complete recently.
+func (g *Guard) Ended(now time.Time, replica string, running []Digest) []Digest {
 	var blamed []Digest
-	for _, digest := range under {
-		if !g.recent.within(now, digest) {
+	for _, digest := range running {
+		if !g.recentSuccesses.contains(now, digest) {
 			blamed = append(blamed, digest)
 		}
 	}
@@ -75,19 +76,19 @@
 	return blamed
 }
 
-// Ran takes in that a run came to a good end.
+// Ran records that a request with the content completed.
 func (g *Guard) Ran(now time.Time, digest Digest) {
-	g.recent.note(now, digest)
+	g.recentSuccesses.add(now, digest)
 	if !g.Empty() {
 		g.Clear(now, digest)
 	}
 }
 
-// Take takes in what control nodes tell. A content that came to a good end here lately is
-// cleared for all: its ends were seen by gateways that could not know.
-func (g *Guard) Take(now time.Time, told []Entry) {
-	for _, digest := range g.Merge(now, told) {
-		if g.recent.within(now, digest) {
+// Take merges the entries sent by control nodes. A content that completed here recently is cleared
+// for all gateways, since those that recorded its failures did not know.
+func (g *Guard) Take(now time.Time, entries []Entry) {
+	for _, digest := range g.Merge(now, entries) {
+		if g.recentSuccesses.contains(now, digest) {
 			g.Clear(now, digest)
 		}
 	}
--- a/src/quarantine/table.go
+++ b/src/quarantine/table.go
@@ -9,86 +9,89 @@
 	"github.com/moorspool/moorspool/src/wakeup"
 )
 
-// Threshold is after the ends of how many replicas a content is quarantined. In a simulation of
-// 100 fleets that lost half of their replicas four times, nine refused more than one in 1,000 of
-// the requests that ended nothing with a threshold of two, none with three.
+// Threshold is the number of failures after which a content is quarantined. In a simulation of 100
+// fleets that lost half of their replicas four times, nine refused more than one in 1,000 of the
+// harmless requests with a threshold of two, and none with three.
 const Threshold = 3
 
-// The times and bounds of a table.
+// Limits of a table.
 const (
-	// suspectLife is how long ends below the threshold are remembered.
-	suspectLife = 10 * time.Minute
-	// maxEnds bounds the ends kept of one content; a few beyond the threshold tell how long it
-	// is held.
-	maxEnds = 8
-	// maxEntries bounds the contents: callers make as many as they like. What has the fewest
-	// ends goes first, and of these what ended a replica longest ago; 512 of 100 bytes each
-	// are 50 KB for a gateway to take in.
+	// suspectTTL is how long failures below the threshold are remembered.
+	suspectTTL = 10 * time.Minute
+	// maxFailures is the number of failures kept for a content; those beyond the threshold
+	// determine how long it is held.
+	maxFailures = 8
+	// maxEntries is the number of contents kept, since callers can create any number of them. The
+	// entry with the fewest failures is evicted first, and of these the one with the oldest
+	// failure. 512 entries of 100 bytes are 50 KB for a gateway to receive.
 	maxEntries = 512
 )
 
-// holds says how long a content is held after the last end, by the ends beyond the threshold.
-// When a hold is over the content is let through once more, so that one condemned wrongly
-// clears itself; of the three sends that may follow the third end for good, two are spent so.
-var holds = []time.Duration{time.Hour, 24 * time.Hour, 7 * 24 * time.Hour}
+// holdDurations is how long a content is held after its last failure, by the number of failures
+// beyond the threshold. After that it is let through once more, so that one that was quarantined by
+// mistake can clear itself. Of the three requests that may be sent after the third failure at all,
+// two are used for that.
+var holdDurations = []time.Duration{time.Hour, 24 * time.Hour, 7 * 24 * time.Hour}
 
-// hold returns how long a content with so many ends is held.
-func hold(ends int) time.Duration {
-	return holds[min(max(ends-Threshold, 0), len(holds)-1)]
+// holdDuration returns how long a content with that many failures is held.
+func holdDuration(failures int) time.Duration {
+	return holdDurations[min(max(failures-Threshold, 0), len(holdDurations)-1)]
 }
 
-// Entry is what processes tell each other of one content.
+// Entry is the state of one content as processes exchange it.
 type Entry struct {
 	Digest Digest `json:"d"`
-	// Round grows when a run to a good end, or an operator, clears the content: ends told of
-	// in earlier rounds count no more.
+	// Round grows when the content is cleared by a completed request or by an operator; failures of
+	// earlier rounds no longer count.
 	Round uint64 `json:"r,omitempty"`
-	// Ends name the starts of replicas that ended under the content in this round.
+	// Ends identify the incarnations of replicas that ended while running the content in this
+	// round.
 	Ends []string `json:"e,omitempty"`
-	// AgeMS is how long ago the last of them ended, in milliseconds.
+	// AgeMS is the time since the last of them ended, in milliseconds.
 	AgeMS int64 `json:"a,omitempty"`
 }
 
-// entry is an entry as a table keeps it.
+// entry is the state of one content in a table.
 type entry struct {
-	round uint64
-	ends  []string
-	// at is when the last end was, or when the content was cleared.
-	at time.Time
-	// stamp is that of the last change, ownStamp that of the last that this process saw itself.
-	stamp    uint64
-	ownStamp uint64
-	// told is set while the content is known to be held.
-	told bool
+	round    uint64
+	failures []string
+	// changedAt is the time of the last failure, or when the content was cleared.
+	changedAt time.Time
+	// version is the table's version at the last change, localVersion at the last change that this
+	// process observed itself.
+	version      uint64
+	localVersion uint64
+	// reportedHeld is set while the content is reported as held.
+	reportedHeld bool
 }
 
 func (e *entry) held(now time.Time) bool {
-	return len(e.ends) >= Threshold && now.Before(e.at.Add(hold(len(e.ends))))
+	return len(e.failures) >= Threshold && now.Before(e.changedAt.Add(holdDuration(len(e.failures))))
 }
 
-// expired reports whether an entry says nothing any more. One that was held is kept twice as
-// long: the next end under it is not its first.
+// expired reports whether an entry can be removed. One that was held is kept twice as long, so that
+// the next failure does not count as the first.
 func (e *entry) expired(now time.Time) bool {
-	life := suspectLife
-	if len(e.ends) >= Threshold {
-		life = 2 * hold(len(e.ends))
+	ttl := suspectTTL
+	if len(e.failures) >= Threshold {
+		ttl = 2 * holdDuration(len(e.failures))
 	}
-	return now.Sub(e.at) > life
+	return now.Sub(e.changedAt) > ttl
 }
 
-// Table holds the contents under suspicion that a process knows of; it is safe for concurrent
-// use. Every change gets a stamp that grows.
+// Table holds the suspected and quarantined contents that a process knows of; it is safe for
+// concurrent use. Each change increases its version.
 type Table struct {
 	report func(Change)
 	size   atomic.Int64
 
 	mu      sync.Mutex
 	entries map[Digest]*entry
-	stamp   uint64
+	version uint64
 	changed wakeup.Flag
 }
 
-// Change tells that a content was quarantined, or is no longer.
+// Change reports that a content was quarantined or released.
 type Change struct {
 	Digest Digest
 	Held   bool
@@ -97,170 +100,171 @@
 	For time.Duration
 }
 
-// NewTable returns an empty table; report learns of each content that is quarantined or
-// cleared.
+// NewTable returns an empty table; report is called for each content that is quarantined or
+// released.
 func NewTable(report func(Change)) *Table {
 	return &Table{report: report, entries: map[Digest]*entry{}, changed: wakeup.New()}
 }
 
-// Empty reports whether no content is under suspicion, without waiting.
+// Empty reports whether the table has no entries, without taking the lock.
 func (t *Table) Empty() bool { return t.size.Load() == 0 }
 
-// Changed delivers when the table has changed.
+// Changed returns a channel that receives after the table has changed.
 func (t *Table) Changed() <-chan struct{} { return t.changed.Raised() }
 
-// End takes in that a replica ended while requests with these contents were under way there.
-func (t *Table) End(now time.Time, replica string, under []Digest) {
+// End records that a replica ended while it ran requests with the given contents.
+func (t *Table) End(now time.Time, replica string, running []Digest) {
 	var changes []Change
 	t.mu.Lock()
-	for _, digest := range under {
-		known := t.of(now, digest)
-		if known == nil || slices.Contains(known.ends, replica) || len(known.ends) >= maxEnds {
+	for _, digest := range running {
+		known := t.getOrCreate(now, digest)
+		if known == nil || slices.Contains(known.failures, replica) || len(known.failures) >= maxFailures {
 			continue
 		}
-		known.ends = append(known.ends, replica)
-		known.at = now
-		t.mark(known)
-		known.ownStamp = t.stamp
-		changes = known.judge(now, digest, changes)
+		known.failures = append(known.failures, replica)
+		known.changedAt = now
+		t.markChanged(known)
+		known.localVersion = t.version
+		changes = known.appendChange(now, digest, changes)
 	}
 	t.mu.Unlock()
-	t.tell(changes)
+	t.reportChanges(changes)
 }
 
-// Clear takes in that a run with the content came to a good end, or that an operator lifted
-// its quarantine; it reports whether the content was under suspicion.
+// Clear removes a content's failures after a request with it completed or an operator lifted its
+// quarantine. It reports whether there were any.
 func (t *Table) Clear(now time.Time, digest Digest) bool {
 	t.mu.Lock()
 	known := t.entries[digest]
-	if known == nil || len(known.ends) == 0 {
+	if known == nil || len(known.failures) == 0 {
 		t.mu.Unlock()
 		return false
 	}
 	known.round++
-	known.ends = nil
-	known.at = now
-	t.mark(known)
-	known.ownStamp = t.stamp
-	changes := known.judge(now, digest, nil)
+	known.failures = nil
+	known.changedAt = now
+	t.markChanged(known)
+	known.localVersion = t.version
+	changes := known.appendChange(now, digest, nil)
 	t.mu.Unlock()
-	t.tell(changes)
+	t.reportChanges(changes)
 	return true
 }
 
-// Merge takes in what another process knows, and returns the contents under suspicion of which
-// something was new here.
-func (t *Table) Merge(now time.Time, told []Entry) []Digest {
-	var fresh []Digest
+// Merge merges the entries of another process. It returns the contents with failures that changed
+// here.
+func (t *Table) Merge(now time.Time, received []Entry) []Digest {
+	var updated []Digest
 	var changes []Change
 	t.mu.Lock()
-	for i := range told {
-		if !t.merge(now, &told[i]) {
+	for i := range received {
+		if !t.merge(now, &received[i]) {
 			continue
 		}
-		known := t.entries[told[i].Digest]
-		if len(known.ends) > 0 {
-			fresh = append(fresh, told[i].Digest)
+		known := t.entries[received[i].Digest]
+		if len(known.failures) > 0 {
+			updated = append(updated, received[i].Digest)
 		}
-		changes = known.judge(now, told[i].Digest, changes)
+		changes = known.appendChange(now, received[i].Digest, changes)
 	}
 	t.mu.Unlock()
-	t.tell(changes)
-	return fresh
+	t.reportChanges(changes)
+	return updated
 }
 
-// merge takes in one entry and reports whether it said anything new; the lock is held.
-func (t *Table) merge(now time.Time, told *Entry) bool {
-	at := now.Add(-time.Duration(max(told.AgeMS, 0)) * time.Millisecond)
-	known := t.entries[told.Digest]
+// merge merges one entry and reports whether it changed anything; the lock is held.
+func (t *Table) merge(now time.Time, received *Entry) bool {
+	changedAt := now.Add(-time.Duration(max(received.AgeMS, 0)) * time.Millisecond)
+	known := t.entries[received.Digest]
 	if known == nil {
-		incoming := entry{ends: told.Ends, at: at}
+		incoming := entry{failures: received.Ends, changedAt: changedAt}
 		if incoming.expired(now) {
 			return false
 		}
-		if known = t.of(now, told.Digest); known == nil {
+		if known = t.getOrCreate(now, received.Digest); known == nil {
 			return false
 		}
-		known.at = at
+		known.changedAt = changedAt
 	}
-	if told.Round < known.round {
+	if received.Round < known.round {
 		return false
 	}
 	added := false
-	if told.Round > known.round {
-		known.round, known.ends, known.at = told.Round, nil, at
+	if received.Round > known.round {
+		known.round, known.failures, known.changedAt = received.Round, nil, changedAt
 		added = true
 	}
-	for _, replica := range told.Ends {
-		if len(known.ends) < maxEnds && !slices.Contains(known.ends, replica) {
-			known.ends = append(known.ends, replica)
+	for _, replica := range received.Ends {
+		if len(known.failures) < maxFailures && !slices.Contains(known.failures, replica) {
+			known.failures = append(known.failures, replica)
 			added = true
 		}
 	}
-	if added && known.at.Before(at) {
-		known.at = at
+	if added && known.changedAt.Before(changedAt) {
+		known.changedAt = changedAt
 	}
 	if added {
-		t.mark(known)
+		t.markChanged(known)
 	}
 	return added
 }
 
-// judge appends the change that an entry's present state is, if it is one.
-func (e *entry) judge(now time.Time, digest Digest, changes []Change) []Change {
+// appendChange appends a Change if the entry's state differs from the one last reported.
+func (e *entry) appendChange(now time.Time, digest Digest, changes []Change) []Change {
 	held := e.held(now)
-	if held == e.told {
+	if held == e.reportedHeld {
 		return changes
 	}
-	e.told = held
-	return append(changes, Change{Digest: digest, Held: held, Ends: slices.Clone(e.ends), For: hold(len(e.ends))})
+	e.reportedHeld = held
+	return append(changes, Change{Digest: digest, Held: held, Ends: slices.Clone(e.failures), For: holdDuration(len(e.failures))})
 }
 
-func (t *Table) tell(changes []Change) {
+func (t *Table) reportChanges(changes []Change) {
 	for _, change := range changes {
 		t.report(change)
 	}
 }
 
-// of returns a content's entry, made if there is room for it; the lock is held.
-func (t *Table) of(now time.Time, digest Digest) *entry {
+// getOrCreate returns a content's entry, or nil if the table is full of quarantined ones; the lock
+// is held.
+func (t *Table) getOrCreate(now time.Time, digest Digest) *entry {
 	known := t.entries[digest]
 	if known != nil {
 		return known
 	}
-	if len(t.entries) >= maxEntries && !t.makeRoom() {
+	if len(t.entries) >= maxEntries && !t.evict() {
 		return nil
 	}
-	known = &entry{at: now}
+	known = &entry{changedAt: now}
 	t.entries[digest] = known
 	t.size.Store(int64(len(t.entries)))
 	return known
 }
 
-// makeRoom drops the entry that says least; it reports false if all are quarantined. The lock
-// is held.
-func (t *Table) makeRoom() bool {
-	var least Digest
-	var found *entry
+// evict removes the entry with the fewest failures. It reports false if all are quarantined. The
+// lock is held.
+func (t *Table) evict() bool {
+	var victim Digest
+	var victimEntry *entry
 	for digest, known := range t.entries {
-		if found == nil || len(known.ends) < len(found.ends) || len(known.ends) == len(found.ends) && known.at.Before(found.at) {
-			least, found = digest, known
+		if victimEntry == nil || len(known.failures) < len(victimEntry.failures) || len(known.failures) == len(victimEntry.failures) && known.changedAt.Before(victimEntry.changedAt) {
+			victim, victimEntry = digest, known
 		}
 	}
-	if len(found.ends) >= Threshold {
+	if len(victimEntry.failures) >= Threshold {
 		return false
 	}
-	delete(t.entries, least)
+	delete(t.entries, victim)
 	return true
 }
 
-func (t *Table) mark(e *entry) {
-	t.stamp++
-	e.stamp = t.stamp
+func (t *Table) markChanged(e *entry) {
+	t.version++
+	e.version = t.version
 	t.changed.Raise()
 }
 
-// Held reports whether a content is quarantined, and for how long it still is.
+// Held reports whether a content is quarantined, and for how much longer.
 func (t *Table) Held(now time.Time, digest Digest) (left time.Duration, held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -268,18 +272,18 @@
 	if known == nil || !known.held(now) {
 		return 0, false
 	}
-	return known.at.Add(hold(len(known.ends))).Sub(now), true
+	return known.changedAt.Add(holdDuration(len(known.failures))).Sub(now), true
 }
 
-// Suspected reports whether replicas ended under a content that no run has cleared since.
+// Suspected reports whether a content has failures and was not cleared since.
 func (t *Table) Suspected(digest Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.entries[digest]
-	return known != nil && len(known.ends) > 0
+	return known != nil && len(known.failures) > 0
 }
 
-// HeldCount returns how many contents are quarantined.
+// HeldCount returns the number of quarantined contents.
 func (t *Table) HeldCount(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -292,28 +296,27 @@
 	return count
 }
 
-// Since returns the entries that changed after a stamp, and the present stamp.
-func (t *Table) Since(now time.Time, stamp uint64) ([]Entry, uint64) {
-	return t.collect(now, func(e *entry) bool { return e.stamp > stamp })
+// Since returns the entries that changed after a version, and the present version.
+func (t *Table) Since(now time.Time, version uint64) ([]Entry, uint64) {
+	return t.collect(now, func(e *entry) bool { return e.version > version })
 }
 
-// OwnSince returns those of Since that this process changed itself.
-func (t *Table) OwnSince(now time.Time, stamp uint64) ([]Entry, uint64) {
-	return t.collect(now, func(e *entry) bool { return e.ownStamp > stamp })
+// OwnSince returns those entries of Since that this process changed itself.
+func (t *Table) OwnSince(now time.Time, version uint64) ([]Entry, uint64) {
+	return t.collect(now, func(e *entry) bool { return e.localVersion > version })
 }
 
-// OwnWithin returns the entries that this process changed itself and that are younger than an
-// age.
+// OwnWithin returns the entries that this process changed itself and that are younger than age.
 func (t *Table) OwnWithin(now time.Time, age time.Duration) []Entry {
-	entries, _ := t.collect(now, func(e *entry) bool { return e.ownStamp > 0 && now.Sub(e.at) < age })
+	entries, _ := t.collect(now, func(e *entry) bool { return e.localVersion > 0 && now.Sub(e.changedAt) < age })
 	return entries
 }
 
-// Entries returns the contents that at least so many replicas ended under, or that were
-// cleared. A content with a single end is of no use to other gateways, and after the loss of a
-// zone there are thousands.
-func (t *Table) Entries(now time.Time, ends int) []Entry {
-	entries, _ := t.collect(now, func(e *entry) bool { return len(e.ends) >= ends || e.round > 0 })
+// Entries returns the contents that have at least minFailures failures or were cleared. A content
+// with a single failure is of no use to other gateways, and after the loss of a zone there are
+// thousands.
+func (t *Table) Entries(now time.Time, failures int) []Entry {
+	entries, _ := t.collect(now, func(e *entry) bool { return len(e.failures) >= failures || e.round > 0 })
 	return entries
 }
 
@@ -323,24 +326,24 @@
 	var entries []Entry
 	for digest, known := range t.entries {
 		if wanted(known) {
-			entries = append(entries, Entry{Digest: digest, Round: known.round, Ends: slices.Clone(known.ends), AgeMS: now.Sub(known.at).Milliseconds()})
+			entries = append(entries, Entry{Digest: digest, Round: known.round, Ends: slices.Clone(known.failures), AgeMS: now.Sub(known.changedAt).Milliseconds()})
 		}
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return slices.Compare(a.Digest[:], b.Digest[:]) })
-	return entries, t.stamp
+	return entries, t.version
 }
 
-// Sweep forgets what says nothing any more, and reports holds that are over.
+// Sweep removes expired entries and reports the contents that are no longer held.
 func (t *Table) Sweep(now time.Time) {
 	var changes []Change
 	t.mu.Lock()
 	for digest, known := range t.entries {
-		changes = known.judge(now, digest, changes)
+		changes = known.appendChange(now, digest, changes)
 		if known.expired(now) {
 			delete(t.entries, digest)
 		}
 	}
 	t.size.Store(int64(len(t.entries)))
 	t.mu.Unlock()
-	t.tell(changes)
+	t.reportChanges(changes)
 }
--- a/src/quarantine/table_test.go
+++ b/src/quarantine/table_test.go
@@ -13,34 +13,34 @@
 
 var noon = time.Unix(1_800_000_000, 0)
 
-func contentNumber(i int) Digest { return Content{Target: fmt.Sprint("/", i)}.Digest() }
+func testDigest(i int) Digest { return Content{Target: fmt.Sprint("/", i)}.Digest() }
 
-func quietTable() *Table { return NewTable(func(Change) {}) }
+func newTestTable() *Table { return NewTable(func(Change) {}) }
 
-// endThrice quarantines a content.
-func endThrice(t *Table, now time.Time, digest Digest) {
+// quarantineDigest quarantines a content.
+func quarantineDigest(t *Table, now time.Time, digest Digest) {
 	for i := range Threshold {
 		t.End(now, fmt.Sprint("r-", i), []Digest{digest})
 	}
 }
 
-// TestAContentIsHeldAfterThreeEnds: ends of one replica count once, a good end clears them, and
-// each change is reported once.
-func TestAContentIsHeldAfterThreeEnds(t *testing.T) {
+// Failures of one replica count once, a completed request clears them, and each change is reported
+// once.
+func TestContentIsQuarantinedAfterThreeFailures(t *testing.T) {
 	is := is.New(t)
 	var changes []Change
 	table := NewTable(func(c Change) { changes = append(changes, c) })
-	content := contentNumber(1)
+	content := testDigest(1)
 	table.End(noon, "a", []Digest{content})
-	table.End(noon, "a", []Digest{content}) // told by another request
+	table.End(noon, "a", []Digest{content}) // reported for another request
 	table.End(noon, "b", []Digest{content})
 	_, held := table.Held(noon, content)
 	is.True(!held)
-	table.End(noon, "c", []Digest{content, contentNumber(2)})
+	table.End(noon, "c", []Digest{content, testDigest(2)})
 	left, held := table.Held(noon, content)
 	is.True(held)
-	is.Equal(left, holds[0])
-	_, held = table.Held(noon, contentNumber(2))
+	is.Equal(left, holdDurations[0])
+	_, held = table.Held(noon, testDigest(2))
 	is.True(!held)
 	is.Equal(len(changes), 1)
 	is.True(changes[0].Held)
@@ -53,88 +53,87 @@
 	is.True(!changes[1].Held)
 }
 
-// TestAHoldThatIsOverLetsOneEndThrough: the next end holds the content again, and longer.
-func TestAHoldThatIsOverLetsOneEndThrough(t *testing.T) {
+// The next failure quarantines the content again, for a longer time.
+func TestAnExpiredQuarantineAllowsOneMoreFailure(t *testing.T) {
 	is := is.New(t)
-	table := quietTable()
-	content := contentNumber(1)
-	endThrice(table, noon, content)
+	table := newTestTable()
+	content := testDigest(1)
+	quarantineDigest(table, noon, content)
 	now := noon
-	for i, expected := range holds {
+	for i, expected := range holdDurations {
 		left, held := table.Held(now, content)
 		is.True(held)
 		is.Equal(left, expected)
 		now = now.Add(expected)
 		table.Sweep(now)
 		_, held = table.Held(now, content)
-		is.True(!held) // it may show that it was condemned wrongly
+		is.True(!held) // it may clear itself if it was quarantined by mistake
 		table.End(now, fmt.Sprint("later-", i), []Digest{content})
 	}
 	left, held := table.Held(now, content)
 	is.True(held)
-	is.Equal(left, holds[len(holds)-1])
+	is.Equal(left, holdDurations[len(holdDurations)-1])
 }
 
-// TestTheBoundKeepsWhatSaysMost: a flood of contents with one end drops neither those that are
-// held nor those that are nearly so.
-func TestTheBoundKeepsWhatSaysMost(t *testing.T) {
+// Many contents with one failure evict neither quarantined ones nor those close to the threshold.
+func TestEvictionKeepsEntriesWithTheMostFailures(t *testing.T) {
 	is := is.New(t)
-	table := quietTable()
-	held, nearly := contentNumber(-1), contentNumber(-2)
-	endThrice(table, noon, held)
-	table.End(noon, "a", []Digest{nearly})
-	table.End(noon, "b", []Digest{nearly})
+	table := newTestTable()
+	held, almostHeld := testDigest(-1), testDigest(-2)
+	quarantineDigest(table, noon, held)
+	table.End(noon, "a", []Digest{almostHeld})
+	table.End(noon, "b", []Digest{almostHeld})
 	for i := range 4 * maxEntries {
-		table.End(noon.Add(time.Duration(i)*time.Millisecond), "z", []Digest{contentNumber(i)})
+		table.End(noon.Add(time.Duration(i)*time.Millisecond), "z", []Digest{testDigest(i)})
 	}
 	entries, _ := table.Since(noon, 0)
 	is.Equal(len(entries), maxEntries)
 	_, isHeld := table.Held(noon, held)
 	is.True(isHeld)
-	is.True(table.Suspected(nearly))
+	is.True(table.Suspected(almostHeld))
 	for i := range 2 * maxEntries {
-		endThrice(table, noon.Add(time.Minute), contentNumber(-10-i))
+		quarantineDigest(table, noon.Add(time.Minute), testDigest(-10-i))
 	}
 	_, isHeld = table.Held(noon.Add(time.Minute), held)
-	is.True(isHeld) // with nothing but held ones a further one finds no room
+	is.True(isHeld) // with only quarantined entries there is no room for another
 	entries, _ = table.Since(noon, 0)
 	is.Equal(len(entries), maxEntries)
 	table.Sweep(noon.Add(30 * 24 * time.Hour))
 	is.True(table.Empty())
 }
 
-// TestAnEntryComesOverTheWire: as other processes read it, with its age.
-func TestAnEntryComesOverTheWire(t *testing.T) {
+// A process that receives an encoded entry holds the content for the rest of the time.
+func TestAnEntrySurvivesEncoding(t *testing.T) {
 	is := is.New(t)
-	table := quietTable()
-	content := contentNumber(1)
-	endThrice(table, noon, content)
+	table := newTestTable()
+	content := testDigest(1)
+	quarantineDigest(table, noon, content)
 	encoded, err := json.Marshal(table.Entries(noon.Add(time.Minute), 2))
 	is.NoErr(err)
 	var entries []Entry
 	is.NoErr(json.Unmarshal(encoded, &entries))
-	other := quietTable()
+	other := newTestTable()
 	is.Equal(other.Merge(noon, entries), []Digest{content})
 	left, held := other.Held(noon, content)
 	is.True(held)
-	is.Equal(left, holds[0]-time.Minute)
+	is.Equal(left, holdDurations[0]-time.Minute)
 	is.Equal(len(other.Merge(noon, entries)), 0) // nothing new
 	for _, text := range []string{`"d"`, `{"d":"00"}`, `{"d":"zz000000000000000000000000000000"}`} {
 		is.True(json.Unmarshal([]byte(`[`+text+`]`), &entries) != nil)
 	}
 }
 
-// TestTablesMergeToTheSame: whatever processes saw, in whatever order and how often they tell
-// each other, they agree in the end on what is held.
-func TestTablesMergeToTheSame(t *testing.T) {
+// Processes agree on what is held, whatever they observed and in whatever order they exchange
+// entries.
+func TestMergedTablesAgreeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := make([]*Table, rapid.IntRange(2, 5).Draw(t, "processes"))
 		for i := range tables {
-			tables[i] = quietTable()
+			tables[i] = newTestTable()
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			table := tables[rapid.IntRange(0, len(tables)-1).Draw(t, "at")]
-			content := contentNumber(rapid.IntRange(0, 2).Draw(t, "content"))
+			content := testDigest(rapid.IntRange(0, 2).Draw(t, "content"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				table.End(noon, fmt.Sprint("r-", rapid.IntRange(0, 3).Draw(t, "replica")), []Digest{content})
@@ -156,9 +155,9 @@
 			}
 		}
 		for content := range 3 {
-			_, expected := tables[0].Held(noon, contentNumber(content))
+			_, expected := tables[0].Held(noon, testDigest(content))
 			for _, table := range tables[1:] {
-				if _, held := table.Held(noon, contentNumber(content)); held != expected {
+				if _, held := table.Held(noon, testDigest(content)); held != expected {
 					t.Fatalf("content %d is held %t here and %t there", content, expected, held)
 				}
 			}
@@ -166,16 +165,16 @@
 	})
 }
 
-// BenchmarkHeld is what each request pays at a gateway: before is a gateway that knows of no
-// end, after one with a full table; the digest comes on top in the second.
+// BenchmarkHeld measures the cost for each request at a gateway without entries and with a full
+// table. In the second case the cost of the digest comes on top.
 func BenchmarkHeld(b *testing.B) {
 	for _, entries := range []int{0, maxEntries} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			guard := NewGuard(quietTable())
+			guard := NewGuard(newTestTable())
 			for i := range entries {
-				guard.End(noon, "a", []Digest{contentNumber(i)})
+				guard.End(noon, "a", []Digest{testDigest(i)})
 			}
-			content := contentNumber(-1)
+			content := testDigest(-1)
 			b.ReportAllocs()
 			for range b.N {
 				if !guard.Empty() {
