--- a/src/dispatch/desk.go
+++ b/src/dispatch/desk.go
@@ -9,27 +9,27 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Desk has a dispatcher for each service that is asked for; it is safe for concurrent use.
+// Desk keeps a dispatcher for each requested service; it is safe for concurrent use.
 type Desk struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// listed are the replicas that are there, replicas the places of those among them whose zone
-	// is not drained, by service.
+	// listed are the usable replicas by ID. replicas are the slots of those whose zone is not
+	// drained, by service and ID.
 	listed   map[string]registry.Record
 	replicas map[string]map[string]int
 	drains   *wire.ZoneDrains
-	// serviceOf are the services of these replicas.
+	// serviceOf is the service of each replica in replicas.
 	serviceOf   map[string]string
 	dispatchers map[string]*Dispatcher
 }
 
-// NewDesk returns a desk that knows no replica.
+// NewDesk returns a desk without replicas.
 func NewDesk(now func() time.Time) *Desk {
 	return &Desk{now: now, listed: map[string]registry.Record{}, replicas: map[string]map[string]int{}, serviceOf: map[string]string{}, dispatchers: map[string]*Dispatcher{}}
 }
 
-// SetReplicas takes in what changed of the replicas.
+// SetReplicas applies changes of the replicas.
 func (d *Desk) SetReplicas(changes registry.Changes) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,38 +41,39 @@
 		} else {
 			delete(d.listed, entry.Record.ID)
 		}
-		d.settle(now, entry.Record.ID)
+		d.refreshReplica(now, entry.Record.ID)
 	}
 	for _, id := range changes.Removed {
 		delete(d.listed, id)
-		d.settle(now, id)
+		d.refreshReplica(now, id)
 	}
 }
 
-// SetDrains takes in the zones whose replicas get nothing new.
+// SetDrains sets the zones whose replicas get no new requests.
 func (d *Desk) SetDrains(drains *wire.ZoneDrains) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.drains = drains
 	now := d.now()
 	for id := range d.listed {
-		d.settle(now, id)
+		d.refreshReplica(now, id)
 	}
 }
 
-// settle lets a replica have requests or not, as it is listed now; the lock is held.
-func (d *Desk) settle(now time.Time, id string) {
+// refreshReplica adds or removes a replica according to its record and the drained zones; the lock
+// is held.
+func (d *Desk) refreshReplica(now time.Time, id string) {
 	record, listed := d.listed[id]
 	if listed && !d.drains.Drained(record.Zone) {
-		d.set(now, &record)
+		d.addReplica(now, &record)
 	} else {
-		d.remove(id)
+		d.removeReplica(id)
 	}
 }
 
-func (d *Desk) set(now time.Time, record *registry.Record) {
+func (d *Desk) addReplica(now time.Time, record *registry.Record) {
 	if d.serviceOf[record.ID] != record.Service {
-		d.remove(record.ID)
+		d.removeReplica(record.ID)
 	}
 	d.serviceOf[record.ID] = record.Service
 	if d.replicas[record.Service] == nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-func (d *Desk) remove(id string) {
+func (d *Desk) removeReplica(id string) {
 	service, known := d.serviceOf[id]
 	if !known {
 		return
@@ -109,7 +110,7 @@
 	return dispatcher
 }
 
-// Ask waits until a request of a service has a place or is refused.
+// Ask waits until a request of a service is assigned or refused.
 func (d *Desk) Ask(ctx context.Context, service string, ask Ask) (Place, error) {
 	places := make(chan Place, 1)
 	ask.Assign = func(place Place) { places <- place }
@@ -125,15 +126,15 @@
 			return place, nil
 		case <-timer.C:
 			d.expire(service)
-			timer.Reset(startMargin)
+			timer.Reset(networkMargin)
 		case <-ctx.Done():
-			go d.abandon(service, places)
+			go d.releaseAbandoned(service, places)
 			return Place{}, ctx.Err()
 		}
 	}
 }
 
-// expire lets time pass at a service where nothing else happens.
+// expire expires the assignments and queued requests of a service, in case nothing else does.
 func (d *Desk) expire(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -141,20 +142,20 @@
 	d.dispatcher(now, service).Expire(now)
 }
 
-// abandon frees the place of an ask that nobody waits for any more.
-func (d *Desk) abandon(service string, places <-chan Place) {
+// releaseAbandoned releases the assignment of a request that is no longer waited for.
+func (d *Desk) releaseAbandoned(service string, places <-chan Place) {
 	for {
 		select {
 		case place := <-places:
 			d.Release(service, place.Ticket, Full, 0)
 			return
-		case <-time.After(longestWork):
+		case <-time.After(assignmentTTL):
 			d.expire(service)
 		}
 	}
 }
 
-// Release takes in how a request that had a place ended.
+// Release records how an assigned request ended.
 func (d *Desk) Release(service string, ticket uint64, outcome Outcome, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/src/dispatch/dispatcher_test.go
+++ b/src/dispatch/dispatcher_test.go
@@ -20,8 +20,8 @@
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-// asked submits an ask and returns where its answer will be.
-func asked(d *Dispatcher, now time.Time, account string, within time.Duration) *Place {
+// submit submits a request and returns where its result will be stored.
+func submit(d *Dispatcher, now time.Time, account string, within time.Duration) *Place {
 	got := &Place{}
 	d.Submit(now, Ask{Account: account, Within: within, Assign: func(p Place) { *got = p }})
 	return got
@@ -34,25 +34,25 @@
 	d.Set(noon, "y", 2)
 	counts := map[string]int{}
 	for range 6 {
-		counts[asked(d, noon, "", 300*time.Millisecond).Replica]++
+		counts[submit(d, noon, "", 300*time.Millisecond).Replica]++
 	}
-	is.Equal(counts, map[string]int{"x": 3, "y": 3}) // a place more than each has
-	waits := asked(d, noon, "", 300*time.Millisecond)
-	is.Equal(*waits, Place{})
-	refused := asked(d, noon, "", 20*time.Millisecond)
+	is.Equal(counts, map[string]int{"x": 3, "y": 3}) // one more than its slots for each
+	queued := submit(d, noon, "", 300*time.Millisecond)
+	is.Equal(*queued, Place{})
+	refused := submit(d, noon, "", 20*time.Millisecond)
 	is.Equal(refused.Replica, "")
 	is.True(refused.RetryAfter > 0)
 	d.Release(noon, 1, Answered, 50*time.Millisecond)
-	is.True(waits.Replica != "")
+	is.True(queued.Replica != "")
 }
 
-func TestARequestThatCantBeInTimeAnyMoreIsRefused(t *testing.T) {
+func TestAQueuedRequestPastItsDeadlineIsRefused(t *testing.T) {
 	is := is.New(t)
 	d := New()
 	d.Set(noon, "x", 1)
-	asked(d, noon, "", time.Second)
-	asked(d, noon, "", time.Second)
-	waits := asked(d, noon, "", 200*time.Millisecond)
+	submit(d, noon, "", time.Second)
+	submit(d, noon, "", time.Second)
+	waits := submit(d, noon, "", 200*time.Millisecond)
 	d.Expire(noon.Add(100 * time.Millisecond))
 	is.Equal(*waits, Place{})
 	d.Expire(noon.Add(150 * time.Millisecond))
@@ -60,65 +60,64 @@
 	is.Equal(d.Queued(), 0)
 }
 
-func TestAPlaceWhoseEndIsNeverToldIsFreeAfterAWhile(t *testing.T) {
+func TestAPlaceThatIsNeverReleasedExpires(t *testing.T) {
 	is := is.New(t)
 	d := New()
 	d.Set(noon, "x", 1)
-	asked(d, noon, "", time.Second)
-	asked(d, noon, "", time.Second)
-	later := noon.Add(longestWork)
-	is.Equal(asked(d, later, "", time.Second).Replica, "x")
+	submit(d, noon, "", time.Second)
+	submit(d, noon, "", time.Second)
+	later := noon.Add(assignmentTTL)
+	is.Equal(submit(d, later, "", time.Second).Replica, "x")
 }
 
-func TestAReplicaThatFailsOrCantBeReachedIsLeftAlone(t *testing.T) {
+func TestAnUnreachableReplicaIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := New()
 	d.Set(noon, "x", 1)
 	d.Set(noon, "y", 9)
-	first := asked(d, noon, "", time.Second)
+	first := submit(d, noon, "", time.Second)
 	d.Release(noon, first.Ticket, Unreachable, 0)
 	for range 3 {
-		is.True(asked(d, noon, "", time.Second).Replica != first.Replica)
+		is.True(submit(d, noon, "", time.Second).Replica != first.Replica)
 	}
 	d.Remove("y")
-	later := noon.Add(avoidFirst)
-	is.Equal(asked(d, later, "", time.Second).Replica, "x")
+	later := noon.Add(minAvoidTime)
+	is.Equal(submit(d, later, "", time.Second).Replica, "x")
 }
 
-// TestAFloodOfOneAccountHarmsNoOther: the account that floods waits behind the others, and
-// each of these is served as without the flood.
+// The requests of the flooding account queue behind those of the others, which are served as
+// without the flood.
 func TestAFloodOfOneAccountHarmsNoOther(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(rand.New(rand.NewPCG(1, 1)), 3, 6)
-	s.arrive("usual", 60, 5*time.Second)
-	s.arrive("flood", 900, 5*time.Second)
+	s.addArrivals("usual", 60, 5*time.Second)
+	s.addArrivals("flood", 900, 5*time.Second)
 	s.run()
 	usual, flood := s.results["usual"], s.results["flood"]
-	is.True(usual.inTime*100 >= usual.asked*97)
-	is.True(flood.inTime >= 900) // what the replicas have left
+	is.True(usual.inTime*100 >= usual.submitted*97)
+	is.True(flood.inTime >= 900) // the capacity that is left
 	is.Equal(usual.late, 0)
-	is.True(flood.late*100 <= flood.inTime) // one that begins at the last moment may lie behind another
+	is.True(flood.late*100 <= flood.inTime) // a request that starts at the last moment may queue behind another
 }
 
-// TestOverloadIsServedInTimeUpToTheCapacity: at 0.8 to 2 times of what replicas can do, what
-// is served is in time, and as many are served as can be. The figures that the log shows
-// are those of docs/design/shifted-work.md.
+// At 0.8 to 2 times the capacity of the replicas, all served requests are in time, and as many are
+// served as possible. The logged figures are those in docs/design/shifted-work.md.
 func TestOverloadIsServedInTimeUpToTheCapacity(t *testing.T) {
 	is := is.New(t)
 	const capacity = 3 * 6 / 0.06
 	for _, load := range []float64{0.8, 1, 1.3, 2} {
 		s := newSimulation(rand.New(rand.NewPCG(1, 2)), 3, 6)
-		s.arrive("a", load*capacity, 10*time.Second)
+		s.addArrivals("a", load*capacity, 10*time.Second)
 		s.run()
 		got := s.results["a"]
-		t.Logf("load %.1f: %d asked, %d in time, %d late, %d refused, p99 of what is served %v", load, got.asked, got.inTime, got.late, got.refused, s.percentile(0.99))
+		t.Logf("load %.1f: %d asked, %d in time, %d late, %d refused, p99 of what is served %v", load, got.submitted, got.inTime, got.late, got.refused, s.percentile(0.99))
 		is.True(float64(got.inTime) >= 0.9*min(load, 1)*capacity*10)
 		is.Equal(got.late, 0)
 	}
 }
 
-// TestNoPlaceIsAssignedTwice: over random histories no replica gets more than its places
-// and one, each ask gets one answer, and none is forgotten.
+// In random histories no replica gets more requests than its slots and one, and each request gets
+// exactly one result.
 func TestNoPlaceIsAssignedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
@@ -127,8 +126,8 @@
 		for id, n := range slots {
 			d.Set(now, id, n)
 		}
-		atWork := map[string]int{}
-		var open []Place
+		running := map[string]int{}
+		var active []Place
 		answered := 0
 		submitted := 0
 		assign := func(p Place) {
@@ -136,19 +135,19 @@
 			if p.Replica == "" {
 				return
 			}
-			atWork[p.Replica]++
-			open = append(open, p)
-			if atWork[p.Replica] > slots[p.Replica]+ahead {
-				t.Fatalf("%s has %d requests", p.Replica, atWork[p.Replica])
+			running[p.Replica]++
+			active = append(active, p)
+			if running[p.Replica] > slots[p.Replica]+prefetch {
+				t.Fatalf("%s has %d requests", p.Replica, running[p.Replica])
 			}
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "ms")) * time.Millisecond)
-			if len(open) > 0 && rapid.Bool().Draw(t, "ends") {
-				at := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-				p := open[at]
-				open = append(open[:at], open[at+1:]...)
-				atWork[p.Replica]--
+			if len(active) > 0 && rapid.Bool().Draw(t, "ends") {
+				at := rapid.IntRange(0, len(active)-1).Draw(t, "which")
+				p := active[at]
+				active = append(active[:at], active[at+1:]...)
+				running[p.Replica]--
 				d.Release(now, p.Ticket, rapid.SampledFrom([]Outcome{Answered, Failed, Full, Unreachable}).Draw(t, "how"), 10*time.Millisecond)
 				continue
 			}
@@ -161,19 +160,20 @@
 	})
 }
 
-// simulation plays replicas that work on slots requests of 60 ms at a time.
+// simulation simulates replicas that process as many requests of 60 ms at a time as they have
+// slots.
 type simulation struct {
 	random  *rand.Rand
 	d       *Dispatcher
 	events  events
 	results map[string]*result
-	// present is the time of the event that is under way.
-	present time.Time
-	took    []time.Duration
+	// currentTime is the time of the event being processed.
+	currentTime time.Time
+	took        []time.Duration
 }
 
 type result struct {
-	asked, inTime, late, refused int
+	submitted, inTime, late, refused int
 }
 
 type simEvent struct {
@@ -207,8 +207,8 @@
 	heap.Push(&s.events, simEvent{at: at, do: do})
 }
 
-// arrive lets an account's requests come at random, so many a second.
-func (s *simulation) arrive(account string, perSecond float64, span time.Duration) {
+// addArrivals schedules an account's requests at random times with a mean rate.
+func (s *simulation) addArrivals(account string, perSecond float64, span time.Duration) {
 	s.results[account] = &result{}
 	for at := noon; at.Before(noon.Add(span)); {
 		at = at.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
@@ -218,22 +218,22 @@
 
 func (s *simulation) submit(began time.Time, account string) {
 	got := s.results[account]
-	got.asked++
+	got.submitted++
 	s.at(began.Add(simTarget), func(now time.Time) { s.d.Expire(now) })
 	s.d.Submit(began, Ask{Account: account, Within: simTarget, Assign: func(p Place) {
 		if p.Replica == "" {
 			got.refused++
 			return
 		}
-		s.work(account, began, p)
+		s.startWork(account, began, p)
 	}})
 }
 
-// work begins a request at its replica, behind those that are there.
-func (s *simulation) work(account string, began time.Time, p Place) {
+// startWork starts a request at its replica, behind those already there.
+func (s *simulation) startWork(account string, began time.Time, p Place) {
 	const took = 60 * time.Millisecond
-	now := s.present
-	busy := s.d.replicas[p.Replica].atWork - s.d.replicas[p.Replica].slots
+	now := s.currentTime
+	busy := s.d.replicas[p.Replica].running - s.d.replicas[p.Replica].slots
 	wait := time.Duration(max(busy, 0)) * took / time.Duration(s.d.replicas[p.Replica].slots)
 	s.at(now.Add(wait+took), func(now time.Time) {
 		if now.Sub(began) <= simTarget {
@@ -249,7 +249,7 @@
 func (s *simulation) run() {
 	for s.events.Len() > 0 {
 		next := heap.Pop(&s.events).(simEvent)
-		s.present = next.at
+		s.currentTime = next.at
 		next.do(next.at)
 	}
 }
@@ -259,7 +259,8 @@
 	return s.took[int(part*float64(len(s.took)-1))]
 }
 
-// TestNoPlaceIsAssignedInADrainedZone, whether replicas are told of before the drain or after it.
+// Replicas of a drained zone get no requests, whether they are registered before or after the
+// drain.
 func TestNoPlaceIsAssignedInADrainedZone(t *testing.T) {
 	is := is.New(t)
 	desk := NewDesk(time.Now)
