--- a/src/limit/budget.go
+++ b/src/limit/budget.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// budgetFloor lets the first retries through before any request has succeeded.
-const budgetFloor = 10
+// initialTokens allows the first retries before any request has succeeded.
+const initialTokens = 10
 
-// Budget bounds retries to a share of the successful requests, so that
-// failures can't multiply the load. It is safe for concurrent use.
+// Budget limits retries to a fraction of the successful requests, so that failures can't multiply
+// the load. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	share  float64
 	tokens float64
 }
 
-// NewBudget returns a budget of share retries for each success.
+// NewBudget returns a budget that allows share retries for each successful request.
 func NewBudget(share float64) *Budget {
-	return &Budget{share: share, tokens: budgetFloor}
+	return &Budget{share: share, tokens: initialTokens}
 }
 
-// Succeeded earns a share of a retry.
+// Succeeded adds the share of a retry that a successful request earns.
 func (b *Budget) Succeeded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.share, budgetFloor*10)
+	b.tokens = min(b.tokens+b.share, initialTokens*10)
 }
 
-// Take spends one retry; it reports false if there is none to spend.
+// Take consumes one retry; it reports false if the budget is used up.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,15 +40,15 @@
 	return true
 }
 
-// The backoff before a retry.
+// Bounds of the backoff before a retry.
 const (
-	backoffFirst = 5 * time.Millisecond
-	backoffMost  = 200 * time.Millisecond
+	minBackoff = 5 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
 )
 
-// Backoff returns the pause before the n-th retry: exponential with full jitter,
-// so that requests that failed together don't come back together.
+// Backoff returns the delay before the n-th retry: exponential with full jitter, so that requests
+// that failed together are not retried together.
 func Backoff(n int, random *rand.Rand) time.Duration {
-	top := min(backoffFirst<<min(n, 16), backoffMost)
-	return time.Duration(random.Int64N(int64(top) + 1))
+	maxDelay := min(minBackoff<<min(n, 16), maxBackoff)
+	return time.Duration(random.Int64N(int64(maxDelay) + 1))
 }
--- a/src/limit/doc.go
+++ b/src/limit/doc.go
@@ -1,3 +1,3 @@
-// Package limit keeps a gateway from taking on more than it can serve in
-// time: bounded queues by priority, and a budget for retries.
+// Package limit protects a gateway from overload with bounded priority queues and a budget for
+// retries.
 package limit
--- a/src/limit/limit_test.go
+++ b/src/limit/limit_test.go
@@ -9,7 +9,7 @@
 
 var noon = time.Unix(1_800_000_000, 0)
 
-func called(t *Ticket) bool {
+func isCalled(t *Ticket) bool {
 	select {
 	case <-t.Called():
 		return true
@@ -25,11 +25,11 @@
 	high := q.Join("m", 1, noon.Add(100*time.Millisecond))
 	late := q.Join("m", 1, noon.Add(time.Second))
 	is.True(q.Release("m"))
-	is.True(called(high))
+	is.True(isCalled(high))
 	is.True(q.Release("m"))
-	is.True(called(low)) // it has waited longer than a step of priority counts
+	is.True(isCalled(low)) // it has waited longer than waitPerPriority
 	is.True(q.Release("m"))
-	is.True(called(late))
+	is.True(isCalled(late))
 	is.True(!q.Release("m"))
 }
 
@@ -57,7 +57,7 @@
 		}
 		b.Succeeded()
 	}
-	if retries > 100+budgetFloor {
+	if retries > 100+initialTokens {
 		t.Errorf("%d retries for 1,000 successes", retries)
 	}
 }
--- a/src/limit/queue.go
+++ b/src/limit/queue.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Ticket is a request that waits for a place.
+// Ticket is a queued request.
 type Ticket struct {
 	priority int
 	arrived  time.Time
-	seq      uint64
+	sequence uint64
 	index    int
-	call     chan struct{}
+	called   chan struct{}
 	lost     chan struct{}
 	model    string
 }
 
-// Called is closed when the request may try again.
-func (t *Ticket) Called() <-chan struct{} { return t.call }
+// Called returns a channel that is closed when the request may try again.
+func (t *Ticket) Called() <-chan struct{} { return t.called }
 
-// Lost is closed when a request of higher priority took the place.
+// Lost returns a channel that is closed when a request of higher priority took the place.
 func (t *Ticket) Lost() <-chan struct{} { return t.lost }
 
-// ageBonus is the wait that counts as much as one step of priority, so that low
-// priorities are served too.
-const ageBonus = 500 * time.Millisecond
+// waitPerPriority is the waiting time that counts as much as one step of priority, so that requests
+// of low priority are served eventually.
+const waitPerPriority = 500 * time.Millisecond
 
-// Queues hold the requests that wait, one bounded queue a model. They are safe
-// for concurrent use.
+// Queues holds the waiting requests in one bounded queue for each model. It is safe for concurrent
+// use.
 type Queues struct {
-	mu     sync.Mutex
-	size   int
-	seq    uint64
-	models map[string]*ticketHeap
-	total  int
+	mu       sync.Mutex
+	size     int
+	sequence uint64
+	models   map[string]*ticketHeap
+	total    int
 }
 
 // NewQueues returns queues of at most size requests for each model.
@@ -42,8 +42,8 @@
 	return &Queues{size: size, models: map[string]*ticketHeap{}}
 }
 
-// Join adds a request. When the queue is full a request of lower priority loses
-// its place; without one, Join returns nil.
+// Join adds a request. If the queue is full it evicts the request to serve last if that has a lower
+// priority, and returns nil otherwise.
 func (q *Queues) Join(model string, priority int, now time.Time) *Ticket {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -53,22 +53,22 @@
 		q.models[model] = tickets
 	}
 	if tickets.Len() >= q.size {
-		evicted := tickets.weakest()
+		evicted := tickets.servedLast()
 		if evicted.priority >= priority {
 			return nil
 		}
 		q.remove(evicted)
 		close(evicted.lost)
 	}
-	q.seq++
-	ticket := &Ticket{priority: priority, arrived: now, seq: q.seq, call: make(chan struct{}), lost: make(chan struct{}), model: model}
+	q.sequence++
+	ticket := &Ticket{priority: priority, arrived: now, sequence: q.sequence, called: make(chan struct{}), lost: make(chan struct{}), model: model}
 	heap.Push(tickets, ticket)
 	q.models[model] = tickets
 	q.total++
 	return ticket
 }
 
-// Leave takes a request out, whether it was called or gave up.
+// Leave removes a request, whether it was called or gave up.
 func (q *Queues) Leave(t *Ticket) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Release calls the first request that waits for a model; it reports false if none does.
+// Release calls the first waiting request of a model; it reports false if there is none.
 func (q *Queues) Release(model string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,11 +98,11 @@
 	}
 	first := (*tickets)[0]
 	q.remove(first)
-	close(first.call)
+	close(first.called)
 	return true
 }
 
-// ReleaseAll calls the first request of every model, after routes changed.
+// ReleaseAll calls the first waiting request of every model, after the routes changed.
 func (q *Queues) ReleaseAll() {
 	q.mu.Lock()
 	models := make([]string, 0, len(q.models))
@@ -115,7 +115,7 @@
 	}
 }
 
-// Waiting returns the number of requests that wait for a model.
+// Waiting returns the number of waiting requests of a model.
 func (q *Queues) Waiting(model string) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -125,13 +125,13 @@
 	return 0
 }
 
-// ticketHeap has the request to be served first at the top.
+// ticketHeap is a heap with the request to serve first at the top.
 type ticketHeap []*Ticket
 
-// rank orders tickets: priority, with waiting time counted in. As all age alike
-// the order between two never changes.
+// rank orders tickets by priority and waiting time; the lowest rank goes first. All tickets age
+// alike, so the order of two tickets never changes.
 func (t *Ticket) rank() int64 {
-	return t.arrived.UnixNano() - int64(t.priority)*int64(ageBonus)
+	return t.arrived.UnixNano() - int64(t.priority)*int64(waitPerPriority)
 }
 
 // Len implements heap.Interface.
@@ -142,7 +142,7 @@
 	if a, b := h[i].rank(), h[j].rank(); a != b {
 		return a < b
 	}
-	return h[i].seq < h[j].seq
+	return h[i].sequence < h[j].sequence
 }
 
 // Swap implements heap.Interface.
@@ -167,12 +167,13 @@
 	return last
 }
 
-func (h ticketHeap) weakest() *Ticket {
-	weakest := h[0]
+// servedLast returns the request to serve last.
+func (h ticketHeap) servedLast() *Ticket {
+	servedLast := h[0]
 	for _, t := range h {
-		if t.rank() > weakest.rank() {
-			weakest = t
+		if t.rank() > servedLast.rank() {
+			servedLast = t
 		}
 	}
-	return weakest
+	return servedLast
 }
--- a/src/route/baseline.go
+++ b/src/route/baseline.go
@@ -1,7 +1,7 @@
 package route
 
-// Mode is how hosts are chosen. All but ByCost are baselines to measure against:
-// they know neither own sends nor limits.
+// Mode is how hosts are chosen. All modes but ByCost are baselines for measurements: they consider
+// neither the gateway's own requests nor limits.
 type Mode string
 
 // The modes.
@@ -11,10 +11,10 @@
 	LeastReported Mode = "least-reported"
 )
 
-// Modes lists every mode, for settings.
+// Modes lists all modes, for the settings.
 var Modes = []Mode{ByCost, RoundRobin, LeastReported}
 
-// pickBaseline chooses as a baseline does, turn by turn or by the last report.
+// pickBaseline chooses a host by round-robin or by the last reported load.
 func (c *candidates) pickBaseline(mode Mode, turn uint64, now int64, tried *Tried) (*Host, Verdict) {
 	var best *Host
 	n := c.len()
--- a/src/route/breaker.go
+++ b/src/route/breaker.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// The breaker's limits.
+// Parameters of the breaker.
 const (
-	breakAfter = 4
-	breakFirst = 500 * time.Millisecond
-	breakMost  = 4 * time.Second
+	openAfter   = 4
+	minOpenTime = 500 * time.Millisecond
+	maxOpenTime = 4 * time.Second
 )
 
-// Breaker keeps requests from another availability zone after failures in a
-// row there, whichever hosts they hit: after a cut every host of the zone is out
-// of reach at once, and finding that out host by host would cost each request
-// its time. Now and then one request tries again. A nil Breaker is never open.
+// Breaker is a circuit breaker for another availability zone. It opens after consecutive failures
+// on any hosts of the zone: after a network partition all its hosts are unreachable at once, and to
+// find that out host by host would delay each request. From time to time it lets requests through
+// to check whether the zone is reachable again. A nil Breaker is never open.
 type Breaker struct {
-	failures atomic.Int64
-	openTo   atomic.Int64
+	failures  atomic.Int64
+	openUntil atomic.Int64
 }
 
-func (b *Breaker) open(now int64) bool {
-	return b != nil && b.openTo.Load() > now
+func (b *Breaker) isOpen(now int64) bool {
+	return b != nil && b.openUntil.Load() > now
 }
 
 // Open reports whether the zone is avoided now.
-func (b *Breaker) Open(now time.Time) bool { return b.open(now.UnixNano()) }
+func (b *Breaker) Open(now time.Time) bool { return b.isOpen(now.UnixNano()) }
 
-func (b *Breaker) succeeded() {
+func (b *Breaker) recordSuccess() {
 	if b == nil || b.failures.Load() == 0 {
 		return
 	}
 	b.failures.Store(0)
-	b.openTo.Store(0)
+	b.openUntil.Store(0)
 }
 
-func (b *Breaker) failed(now time.Time) {
+func (b *Breaker) recordFailure(now time.Time) {
 	if b == nil {
 		return
 	}
 	failures := b.failures.Add(1)
-	if failures < breakAfter {
+	if failures < openAfter {
 		return
 	}
-	avoid := min(breakFirst<<min(failures-breakAfter, 8), breakMost)
-	b.openTo.Store(now.Add(avoid).UnixNano())
+	avoid := min(minOpenTime<<min(failures-openAfter, 8), maxOpenTime)
+	b.openUntil.Store(now.Add(avoid).UnixNano())
 }
--- a/src/route/doc.go
+++ b/src/route/doc.go
@@ -1,7 +1,7 @@
-// Package route chooses the backend server for one request from knowledge that
-// is always a little old. A choice costs the same however many replicas there
-// are: it weighs a small random sample.
+// Package route chooses the backend server for a request based on slightly outdated load data. The
+// cost of a choice does not depend on the number of replicas, because only a small random sample is
+// compared.
 //
 //	planners' routes ──▶ Table (immutable, per model) ──▶ Pick ──▶ Host
-//	answers' load headers, failures, own sends ───────▶ Host (atomic counters)
+//	load headers, failures, own requests ─────────────▶ Host (atomic counters)
 package route
--- a/src/route/host.go
+++ b/src/route/host.go
@@ -7,28 +7,28 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The limits of ejection.
+// Parameters of ejection.
 const (
-	// ejectAfter is the failures in a row after which a host is avoided.
-	ejectAfter = 3
-	ejectFirst = time.Second
-	ejectMost  = 10 * time.Second
+	// ejectAfter is the number of consecutive failures after which a host is avoided.
+	ejectAfter   = 3
+	minEjectTime = time.Second
+	maxEjectTime = 10 * time.Second
 )
 
-// The bounds of the concurrency that one gateway allows itself on a host.
+// Bounds of the number of concurrent requests that one gateway sends to a host.
 const (
-	limitFirst = 32
-	limitLeast = 1
-	limitMost  = 1024
-	// missPart is the part of the limit that one miss takes away.
-	missPart = 16
+	initialLimit = 32
+	minLimit     = 1
+	maxLimit     = 1024
+	// missDivisor is the divisor of the limit by which one missed target lowers it.
+	missDivisor = 16
 )
 
-// serviceShift weighs a new service time at 1/8 of the average.
-const serviceShift = 3
+// serviceTimeShift gives a new service time a weight of 1/8 in the moving average.
+const serviceTimeShift = 3
 
-// Host is what a gateway knows of one backend server; it is safe for
-// concurrent use and outlives the tables that name it.
+// Host is a gateway's state of one backend server. It is safe for concurrent use and outlives the
+// tables that refer to it.
 type Host struct {
 	name    string
 	pool    string
@@ -38,28 +38,29 @@
 	state    atomic.Pointer[wire.HostState]
 	leaving  atomic.Bool
 	inFlight atomic.Int64
-	// reported is the last reported number of requests running and waiting.
+	// reported is the last reported number of running and waiting requests.
 	reported atomic.Int64
-	// sent counts own requests sent since that report, which it can't know.
-	sent       atomic.Int64
-	reportedAt atomic.Int64
-	slots      atomic.Int64
-	limit      atomic.Int64
-	// inTime counts the requests in time since the limit last moved.
-	inTime    atomic.Int64
-	service   atomic.Int64
-	failures  atomic.Int64
-	ejectedTo atomic.Int64
-	freshTo   atomic.Int64
-	breaker   *Breaker
+	// sentSinceReport counts this gateway's requests sent since that report, which does not include
+	// them.
+	sentSinceReport atomic.Int64
+	reportedAt      atomic.Int64
+	slots           atomic.Int64
+	limit           atomic.Int64
+	// metTarget counts the requests that met their target since the limit last changed.
+	metTarget      atomic.Int64
+	serviceTime    atomic.Int64
+	failures       atomic.Int64
+	ejectedUntil   atomic.Int64
+	slowStartUntil atomic.Int64
+	breaker        *Breaker
 }
 
-// NewHost returns a host as a planner described it; breaker is shared by the
-// hosts of an availability zone, nil for the own zone.
+// NewHost returns a host for a planner's route. The breaker is shared by the hosts of an
+// availability zone; it is nil for the gateway's own zone.
 func NewHost(route wire.HostRoute, breaker *Breaker) *Host {
 	h := &Host{name: route.Host, pool: route.Pool, zone: route.Zone, address: route.Address, breaker: breaker}
 	h.slots.Store(int64(max(route.Slots, 1)))
-	h.limit.Store(max(limitFirst, min(2*int64(route.Slots), limitMost)))
+	h.limit.Store(max(initialLimit, min(2*int64(route.Slots), maxLimit)))
 	h.SetState(route.State)
 	return h
 }
@@ -67,140 +68,141 @@
 // Name returns the host's name.
 func (h *Host) Name() string { return h.name }
 
-// Address returns where the host takes requests.
+// Address returns the address at which the host accepts requests.
 func (h *Host) Address() string { return h.address }
 
 // Zone returns the host's availability zone.
 func (h *Host) Zone() string { return h.zone }
 
-// InFlight returns this gateway's requests on the host.
+// InFlight returns the number of this gateway's requests in flight on the host.
 func (h *Host) InFlight() int64 { return h.inFlight.Load() }
 
-// State returns the planner's word on the host.
+// State returns the host's state as reported by the planner.
 func (h *Host) State() wire.HostState { return *h.state.Load() }
 
-// SetState takes in the planner's word on the host.
+// SetState sets the host's state as reported by the planner.
 func (h *Host) SetState(state wire.HostState) {
 	if old := h.state.Swap(&state); old != nil && *old == wire.HostLeaving && state == wire.HostLive {
 		h.leaving.Store(false)
 	}
 }
 
-// SetLeaving takes in the host's own word that it is leaving.
+// SetLeaving records that the host itself announced that it is leaving.
 func (h *Host) SetLeaving() { h.leaving.Store(true) }
 
-// usable reports whether the host may get new work.
+// usable reports whether the host may get new requests.
 func (h *Host) usable(now int64) bool {
-	if h.breaker.open(now) {
+	if h.breaker.isOpen(now) {
 		return false
 	}
-	return h.State() == wire.HostLive && !h.leaving.Load() && h.ejectedTo.Load() <= now
+	return h.State() == wire.HostLive && !h.leaving.Load() && h.ejectedUntil.Load() <= now
 }
 
-// lastResort reports whether the host may get work when no usable one is left.
-func (h *Host) lastResort(now int64) bool {
-	if h.breaker.open(now) {
+// usableAsLastResort reports whether the host may get requests when no usable one is left.
+func (h *Host) usableAsLastResort(now int64) bool {
+	if h.breaker.isOpen(now) {
 		return false
 	}
 	state := h.State()
 	return (state == wire.HostLive || state == wire.HostSuspect) && !h.leaving.Load()
 }
 
-// hasRoom reports whether this gateway allows itself another request there.
-func (h *Host) hasRoom() bool { return h.inFlight.Load() < h.limit.Load() }
+// hasCapacity reports whether this gateway may send another request to the host.
+func (h *Host) hasCapacity() bool { return h.inFlight.Load() < h.limit.Load() }
 
-// Reported takes in a load report of a host.
+// Reported records a load report of the host.
 func (h *Host) Reported(running, waiting int, now time.Time) {
 	h.reported.Store(int64(running + waiting))
 	h.reportedAt.Store(now.UnixNano())
-	h.sent.Store(0)
+	h.sentSinceReport.Store(0)
 }
 
-// Seen returns the last reported load, without what this gateway knows better.
+// Seen returns the last reported load, without this gateway's own requests since.
 func (h *Host) Seen() int64 { return h.reported.Load() }
 
-// Begin counts a request that is being sent.
+// Begin counts a request that is about to be sent.
 func (h *Host) Begin() {
 	h.inFlight.Add(1)
-	h.sent.Add(1)
+	h.sentSinceReport.Add(1)
 }
 
-// End counts a request's end: its time on the host, and whether it met its
-// target there. The limit follows that: a miss lowers it by a part, as many
-// requests in time as it allows raise it by one while it is used.
+// End counts the end of a request, with its time on the host and whether it met its target there. A
+// missed target lowers the limit by a fraction. As many requests that meet the target as the limit
+// allows raise it by one, if the limit was reached.
 func (h *Host) End(took time.Duration, attained bool) {
 	used := h.inFlight.Add(-1) + 1
-	h.adapt(used, attained)
+	h.adjustLimit(used, attained)
 	h.failures.Store(0)
-	h.ejectedTo.Store(0)
-	h.breaker.succeeded()
-	old := h.service.Load()
+	h.ejectedUntil.Store(0)
+	h.breaker.recordSuccess()
+	old := h.serviceTime.Load()
 	if old == 0 {
-		h.service.Store(int64(took))
+		h.serviceTime.Store(int64(took))
 	} else {
-		h.service.Store(old + (int64(took)-old)>>serviceShift)
+		h.serviceTime.Store(old + (int64(took)-old)>>serviceTimeShift)
 	}
 }
 
 // Fail counts the end of a request that got no answer.
 func (h *Host) Fail() { h.inFlight.Add(-1) }
 
-// adapt moves the limit. Two requests that end at once may undo each other's
-// step, which costs nothing but a little time.
-func (h *Host) adapt(used int64, attained bool) {
+// adjustLimit changes the limit. Two requests that end at once may undo each other's change, which
+// only delays the adjustment.
+func (h *Host) adjustLimit(used int64, attained bool) {
 	limit := h.limit.Load()
 	if !attained {
-		// From what was really in use: a limit that was never reached says nothing.
+		// Starts from the number of requests in flight: a limit that was not reached is not
+		// meaningful.
 		busy := min(limit, used)
-		h.limit.Store(max(busy-max(busy/missPart, 1), limitLeast))
-		h.inTime.Store(0)
+		h.limit.Store(max(busy-max(busy/missDivisor, 1), minLimit))
+		h.metTarget.Store(0)
 		return
 	}
-	if used >= limit && h.inTime.Add(1) >= limit && limit < limitMost {
+	if used >= limit && h.metTarget.Add(1) >= limit && limit < maxLimit {
 		h.limit.Store(limit + 1)
-		h.inTime.Store(0)
+		h.metTarget.Store(0)
 	}
 }
 
-// Busy takes in that the host refused for lack of a place: fewer at once from now on.
+// Busy lowers the limit after the host refused a request because it was full.
 func (h *Host) Busy() {
-	h.limit.Store(max(h.limit.Load()*3/4, limitLeast))
+	h.limit.Store(max(h.limit.Load()*3/4, minLimit))
 }
 
-// Failed counts a failure and reports whether the host is avoided because of it.
+// Failed counts a failure and reports whether the host is ejected because of it.
 func (h *Host) Failed(now time.Time) bool {
-	h.breaker.failed(now)
+	h.breaker.recordFailure(now)
 	failures := h.failures.Add(1)
 	if failures < ejectAfter {
 		return false
 	}
-	avoid := min(ejectFirst<<min(failures-ejectAfter, 8), ejectMost)
-	h.ejectedTo.Store(now.Add(avoid).UnixNano())
+	avoid := min(minEjectTime<<min(failures-ejectAfter, 8), maxEjectTime)
+	h.ejectedUntil.Store(now.Add(avoid).UnixNano())
 	return failures == ejectAfter
 }
 
-// defaultService stands in for a host's service time until one was seen.
-const defaultService = 100 * time.Millisecond
+// defaultServiceTime is the assumed service time of a host without measurements.
+const defaultServiceTime = 100 * time.Millisecond
 
-// cost is the wait that another request may expect on the host, in nanoseconds.
+// cost returns the expected wait of another request on the host, in nanoseconds.
 func (h *Host) cost() int64 {
 	load := h.load()
-	service := h.service.Load()
-	if service == 0 {
-		service = int64(defaultService)
+	serviceTime := h.serviceTime.Load()
+	if serviceTime == 0 {
+		serviceTime = int64(defaultServiceTime)
 	}
 	slots := h.slots.Load()
-	return (load + 1) * service / slots
+	return (load + 1) * serviceTime / slots
 }
 
-// load is the reported load with what this gateway knows better: its own
-// requests there, and those sent since the report.
+// load returns the reported load plus the requests sent since the report, or this gateway's
+// requests in flight if there are more of these.
 func (h *Host) load() int64 {
-	return max(h.reported.Load()+h.sent.Load(), h.inFlight.Load())
+	return max(h.reported.Load()+h.sentSinceReport.Load(), h.inFlight.Load())
 }
 
-// slowStart is how long a host with a fresh copy is given less work.
-const slowStart = 2 * time.Second
+// slowStartTime is how long a host with a newly loaded copy gets less load.
+const slowStartTime = 2 * time.Second
 
-// MarkFresh begins a host's slow start.
-func (h *Host) MarkFresh(now time.Time) { h.freshTo.Store(now.Add(slowStart).UnixNano()) }
+// MarkFresh starts the host's slow start.
+func (h *Host) MarkFresh(now time.Time) { h.slowStartUntil.Store(now.Add(slowStartTime).UnixNano()) }
--- a/src/route/pick.go
+++ b/src/route/pick.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// sample is how many candidates a choice weighs.
-const sample = 3
+// sampleSize is the number of candidates that a choice compares.
+const sampleSize = 3
 
-// The costs besides waiting, in nanoseconds.
+// Costs in addition to the expected wait, in nanoseconds.
 const (
-	// farCost is what crossing to another availability zone costs.
-	farCost = int64(2 * time.Millisecond)
-	// prefixGain is what a prompt prefix in the host's cache saves.
-	prefixGain = int64(30 * time.Millisecond)
-	// freshCost is added while a host with a fresh copy starts slowly.
-	freshCost = int64(50 * time.Millisecond)
+	// crossZoneCost is the cost of a request to another availability zone.
+	crossZoneCost = int64(2 * time.Millisecond)
+	// prefixCacheGain is what a prompt prefix in the host's cache saves.
+	prefixCacheGain = int64(30 * time.Millisecond)
+	// slowStartCost is added during a host's slow start.
+	slowStartCost = int64(50 * time.Millisecond)
 )
 
-// Verdict says how a choice came out.
+// Verdict is the result of a choice.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Chosen means that there is a host.
+	// Chosen means that a host was found.
 	Chosen Verdict = iota
-	// Full means that every host that could serve has no room for more from here.
+	// Full means that every host that could serve the request has reached this gateway's limit.
 	Full
-	// Missing means that no host in reach can serve.
+	// Missing means that no reachable host can serve the request.
 	Missing
 )
 
-// Tried remembers the hosts that a request was sent to already.
+// Tried contains the hosts that a request was already sent to.
 type Tried struct {
 	hosts [maxTried]*Host
 	count int
 }
 
-// maxTried bounds what is remembered; it is above any sensible number of attempts.
+// maxTried is the number of hosts kept; it is above any sensible number of attempts.
 const maxTried = 8
 
-// Add remembers a host.
+// Add adds a host.
 func (t *Tried) Add(h *Host) {
 	if t.count < maxTried {
 		t.hosts[t.count] = h
@@ -59,11 +59,11 @@
 	return false
 }
 
-// prefixSlots is the number of prompt prefixes whose last host is remembered.
+// prefixSlots is the number of prompt prefixes whose last host is kept.
 const prefixSlots = 8192
 
-// Prefixes remembers which host last served a prompt prefix. It is a hint: a
-// wrong one costs time, never an answer. It is safe for concurrent use.
+// Prefixes remembers which host last served a prompt prefix. It is only a hint: an outdated one
+// costs time but does not affect the answer. It is safe for concurrent use.
 type Prefixes struct {
 	slots [prefixSlots]atomic.Pointer[prefix]
 }
@@ -73,7 +73,7 @@
 	host *Host
 }
 
-// Note remembers that a host has a prefix now.
+// Note records that a host has a prefix in its cache.
 func (p *Prefixes) Note(hash uint64, host *Host) {
 	slot := &p.slots[hash%prefixSlots]
 	if known := slot.Load(); known != nil && known.hash == hash && known.host == host {
@@ -92,17 +92,17 @@
 	return nil
 }
 
-// Request is what a choice depends on.
+// Request contains the inputs of a choice.
 type Request struct {
 	Want   Want
 	Tried  *Tried
 	Prefix uint64
-	// Mode is ByCost, or "" for the same, but for measurements of a baseline.
+	// Mode is ByCost or "", which means the same; other modes are baselines for measurements.
 	Mode Mode
 }
 
-// Pick chooses the host for a request. It weighs a random sample of the
-// candidates, mostly near ones, and the host that has the prompt's prefix.
+// Pick chooses the host for a request. It compares a random sample of the candidates, mostly local
+// ones, and the host that has the prompt's prefix in its cache.
 func (t *Table) Pick(now time.Time, r Request, prefixes *Prefixes, random *rand.Rand) (*Host, Verdict) {
 	c := t.find(r.Want)
 	if c.len() == 0 {
@@ -111,8 +111,8 @@
 	if r.Mode != "" && r.Mode != ByCost {
 		return c.pickBaseline(r.Mode, random.Uint64(), now.UnixNano(), r.Tried)
 	}
-	p := picker{c: c, now: now.UnixNano(), tried: r.Tried, warm: prefixes.find(r.Prefix)}
-	p.weighWarm()
+	p := picker{c: c, now: now.UnixNano(), tried: r.Tried, prefixHost: prefixes.find(r.Prefix)}
+	p.weighPrefixHost()
 	p.weighSample(random)
 	if p.best != nil {
 		return p.best, Chosen
@@ -120,83 +120,84 @@
 	return p.scan()
 }
 
+// picker is the state of one choice.
 type picker struct {
-	c     *candidates
-	now   int64
-	tried *Tried
-	warm  *Host
-	best  *Host
-	cost  int64
+	c          *candidates
+	now        int64
+	tried      *Tried
+	prefixHost *Host
+	best       *Host
+	cost       int64
 }
 
-func (p *picker) weighWarm() {
-	if p.warm == nil {
+func (p *picker) weighPrefixHost() {
+	if p.prefixHost == nil {
 		return
 	}
-	for i := range p.c.near {
-		if p.c.near[i] == p.warm {
-			p.weigh(p.warm, false)
+	for i := range p.c.local {
+		if p.c.local[i] == p.prefixHost {
+			p.weigh(p.prefixHost, false)
 			return
 		}
 	}
-	for i := range p.c.far {
-		if p.c.far[i] == p.warm {
-			p.weigh(p.warm, true)
+	for i := range p.c.remote {
+		if p.c.remote[i] == p.prefixHost {
+			p.weigh(p.prefixHost, true)
 			return
 		}
 	}
 }
 
-// weighSample draws from the near candidates, and one from the far ones so
-// that a crowded zone is noticed.
+// weighSample draws from the local candidates, and one from the remote ones so that requests can
+// move to another zone when the local one is overloaded.
 func (p *picker) weighSample(random *rand.Rand) {
-	if near := len(p.c.near); near > 0 {
-		start := random.IntN(near)
+	if local := len(p.c.local); local > 0 {
+		start := random.IntN(local)
 		stride := 1
-		if near > sample {
-			stride = 1 + random.IntN(near-1)
+		if local > sampleSize {
+			stride = 1 + random.IntN(local-1)
 		}
-		for i := 0; i < min(near, sample); i++ {
-			p.weigh(p.c.near[(start+i*stride)%near], false)
+		for i := 0; i < min(local, sampleSize); i++ {
+			p.weigh(p.c.local[(start+i*stride)%local], false)
 		}
 	}
-	if far := len(p.c.far); far > 0 {
-		start := random.IntN(far)
+	if remote := len(p.c.remote); remote > 0 {
+		start := random.IntN(remote)
 		draws := 1
-		if len(p.c.near) == 0 {
-			draws = min(far, sample)
+		if len(p.c.local) == 0 {
+			draws = min(remote, sampleSize)
 		}
 		for i := 0; i < draws; i++ {
-			p.weigh(p.c.far[(start+i)%far], true)
+			p.weigh(p.c.remote[(start+i)%remote], true)
 		}
 	}
 }
 
-func (p *picker) weigh(h *Host, far bool) {
-	if !h.usable(p.now) || !h.hasRoom() || (p.tried != nil && p.tried.Has(h)) {
+func (p *picker) weigh(h *Host, remote bool) {
+	if !h.usable(p.now) || !h.hasCapacity() || (p.tried != nil && p.tried.Has(h)) {
 		return
 	}
 	cost := h.cost()
-	if far {
-		cost += farCost
+	if remote {
+		cost += crossZoneCost
 	}
-	if h == p.warm {
-		cost -= prefixGain
+	if h == p.prefixHost {
+		cost -= prefixCacheGain
 	}
-	if h.freshTo.Load() > p.now {
-		cost += freshCost
+	if h.slowStartUntil.Load() > p.now {
+		cost += slowStartCost
 	}
 	if p.best == nil || cost < p.cost {
 		p.best, p.cost = h, cost
 	}
 }
 
-// scan looks at every candidate after the sample had none to offer: first for a
-// usable one, then for one that was only ejected, is suspect or was tried
-// before, so that caution alone never makes a model unreachable.
+// scan checks every candidate when none of the sample was usable. If no candidate is usable it
+// falls back to those that are ejected, suspect or were tried before, so that these precautions
+// alone never make a model unavailable.
 func (p *picker) scan() (*Host, Verdict) {
 	for i := 0; i < p.c.len(); i++ {
-		p.weigh(p.c.at(i), i >= len(p.c.near))
+		p.weigh(p.c.at(i), i >= len(p.c.local))
 	}
 	if p.best != nil {
 		return p.best, Chosen
@@ -204,14 +205,14 @@
 	full := false
 	for i := 0; i < p.c.len(); i++ {
 		h := p.c.at(i)
-		if !h.lastResort(p.now) {
+		if !h.usableAsLastResort(p.now) {
 			continue
 		}
-		if !h.hasRoom() {
+		if !h.hasCapacity() {
 			full = true
 			continue
 		}
-		if p.best == nil || h.ejectedTo.Load() < p.best.ejectedTo.Load() {
+		if p.best == nil || h.ejectedUntil.Load() < p.best.ejectedUntil.Load() {
 			p.best = h
 		}
 	}
--- a/src/route/pick_test.go
+++ b/src/route/pick_test.go
@@ -13,8 +13,8 @@
 
 var noon = time.Unix(1_800_000_000, 0)
 
-// tableOf returns a table whose hosts all serve model m, half of them far.
-func tableOf(n int, zones ...string) (*Table, []*Host) {
+// newTestTable returns a table whose hosts all serve model m, with the given zones in turn.
+func newTestTable(n int, zones ...string) (*Table, []*Host) {
 	hosts := map[string]*Host{}
 	var routes []wire.HostRoute
 	var list []*Host
@@ -31,8 +31,8 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestLeavingHostsGetNothing(t *testing.T) {
-	table, hosts := tableOf(3, "a")
+func TestLeavingHostsGetNoRequests(t *testing.T) {
+	table, hosts := newTestTable(3, "a")
 	hosts[0].SetLeaving()
 	hosts[1].SetState(wire.HostLeaving)
 	r := random()
@@ -48,7 +48,7 @@
 }
 
 func TestEjectionNeverMakesAModelUnreachable(t *testing.T) {
-	table, hosts := tableOf(2, "a")
+	table, hosts := newTestTable(2, "a")
 	for _, h := range hosts {
 		for range ejectAfter {
 			h.Failed(noon)
@@ -58,20 +58,20 @@
 	is.New(t).Equal(verdict, Chosen)
 }
 
-func TestCutOffZoneIsLeftAlone(t *testing.T) {
-	table, hosts := tableOf(4, "b")
+func TestUnreachableZoneIsAvoided(t *testing.T) {
+	table, hosts := newTestTable(4, "b")
 	is := is.New(t)
 	for _, h := range hosts {
-		h.Failed(noon) // one failure each: no host is ejected, the zone is
+		h.Failed(noon) // one failure each opens the zone's breaker and ejects no host
 	}
 	_, verdict := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, random())
 	is.Equal(verdict, Missing)
-	_, verdict = table.Pick(noon.Add(breakFirst+1), Request{Want: Want{Model: "m"}}, nil, random())
+	_, verdict = table.Pick(noon.Add(minOpenTime+1), Request{Want: Want{Model: "m"}}, nil, random())
 	is.Equal(verdict, Chosen)
 }
 
 func TestFullHostsMakeRequestsWait(t *testing.T) {
-	table, hosts := tableOf(2, "a")
+	table, hosts := newTestTable(2, "a")
 	for _, h := range hosts {
 		h.limit.Store(1)
 		h.Begin()
@@ -80,14 +80,14 @@
 	is.New(t).Equal(verdict, Full)
 }
 
-// TestManyEntryHostsDoNotPileUp lets 340 gateways choose on one stale report.
+// 340 gateways that choose by the same outdated report must not all send to the same replica.
 func TestManyGatewaysDoNotPileUp(t *testing.T) {
-	const entries, replicas = 340, 20
+	const gateways, replicas = 340, 20
 	chosen := map[string]int{}
-	for e := range entries {
-		table, hosts := tableOf(replicas, "a")
+	for e := range gateways {
+		table, hosts := newTestTable(replicas, "a")
 		for i, h := range hosts {
-			h.Reported(i, 0, noon) // h0 looks idle to everybody
+			h.Reported(i, 0, noon) // h0000 looks idle to all gateways
 		}
 		h, _ := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, rand.New(rand.NewPCG(uint64(e), 1)))
 		chosen[h.Name()]++
@@ -96,8 +96,8 @@
 	for _, n := range chosen {
 		worst = max(worst, n)
 	}
-	if worst > entries/3 {
-		t.Errorf("%d of %d gateways chose the same replica", worst, entries)
+	if worst > gateways/3 {
+		t.Errorf("%d of %d gateways chose the same replica", worst, gateways)
 	}
 }
 
@@ -105,7 +105,7 @@
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 100, 780} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, _ := tableOf(n, "a", "b", "c")
+			table, _ := newTestTable(n, "a", "b", "c")
 			prefixes := &Prefixes{}
 			r := random()
 			tried := &Tried{}
--- a/src/route/table.go
+++ b/src/route/table.go
@@ -7,28 +7,29 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// candidates are the hosts that can serve one name, the own zone's apart.
+// candidates are the hosts that can serve one model, adapter or pool: those in the gateway's own
+// availability zone and the others.
 type candidates struct {
-	near []*Host
-	far  []*Host
+	local  []*Host
+	remote []*Host
 }
 
 func (c *candidates) len() int {
 	if c == nil {
 		return 0
 	}
-	return len(c.near) + len(c.far)
+	return len(c.local) + len(c.remote)
 }
 
-// at returns the i-th candidate, the near ones first.
+// at returns the i-th candidate, the local ones first.
 func (c *candidates) at(i int) *Host {
-	if i < len(c.near) {
-		return c.near[i]
+	if i < len(c.local) {
+		return c.local[i]
 	}
-	return c.far[i-len(c.near)]
+	return c.remote[i-len(c.local)]
 }
 
-// Table says which hosts can serve what; it never changes once built.
+// Table contains the hosts that can serve each model, adapter and pool; it is immutable.
 type Table struct {
 	models   map[string]*candidates
 	adapters map[string]*candidates
@@ -36,8 +37,8 @@
 	hosts    int
 }
 
-// NewTable builds the table of a gateway in a zone. hosts keeps the Host of
-// each name over tables.
+// NewTable builds the table of a gateway in a zone. hosts contains the Host of each name, which is
+// kept from one table to the next.
 func NewTable(zone string, routes []wire.HostRoute, hosts map[string]*Host) *Table {
 	t := &Table{
 		models:   map[string]*candidates{},
@@ -52,30 +53,30 @@
 			continue
 		}
 		t.hosts++
-		near := route.Zone == zone
-		add(t.pools, route.Pool, host, near)
+		local := route.Zone == zone
+		add(t.pools, route.Pool, host, local)
 		for _, model := range route.Models {
-			add(t.models, model.Model, host, near)
+			add(t.models, model.Model, host, local)
 			for _, adapter := range model.Adapters {
-				add(t.adapters, adapter, host, near)
+				add(t.adapters, adapter, host, local)
 			}
 		}
 	}
 	return t
 }
 
-func add(table map[string]*candidates, name string, host *Host, near bool) {
+func add(table map[string]*candidates, name string, host *Host, local bool) {
 	c := table[name]
 	if c == nil {
 		c = &candidates{}
 		table[name] = c
 	}
-	list := &c.far
-	if near {
-		list = &c.near
+	list := &c.remote
+	if local {
+		list = &c.local
 	}
 	if n := len(*list); n > 0 && (*list)[n-1] == host {
-		// Two copies on one host are one candidate.
+		// Several copies on one host are one candidate.
 		return
 	}
 	*list = append(*list, host)
@@ -87,14 +88,14 @@
 // Models returns the number of models with a ready copy.
 func (t *Table) Models() int { return len(t.models) }
 
-// Has reports whether any copy of a model or adapter is ready.
+// Has reports whether a copy of the model or adapter is ready.
 func (t *Table) Has(want Want) bool { return t.find(want).len() > 0 }
 
 // Want is what a request needs.
 type Want struct {
 	Model   string
 	Adapter string
-	// Pool names the plain service instead of a model.
+	// Pool is the name of a plain service, used instead of a model.
 	Pool string
 }
 
@@ -108,18 +109,18 @@
 	return t.models[want.Model]
 }
 
-// Drain estimates how long the candidates of a request take to serve the given
-// number of requests that wait here before it.
+// Drain estimates how long the candidates need to serve the given number of requests that wait
+// before this one.
 func (t *Table) Drain(want Want, waiting int) time.Duration {
 	c := t.find(want)
-	var slots, service int64
+	var slots, serviceTime int64
 	for i := 0; i < c.len(); i++ {
 		h := c.at(i)
 		slots += min(h.slots.Load(), h.limit.Load())
-		service = max(service, h.service.Load())
+		serviceTime = max(serviceTime, h.serviceTime.Load())
 	}
 	if slots == 0 {
 		return 0
 	}
-	return time.Duration(int64(waiting) * service / slots)
+	return time.Duration(int64(waiting) * serviceTime / slots)
 }
