--- a/src/admission/admission_test.go
+++ b/src/admission/admission_test.go
@@ -159,7 +159,7 @@
 	old := n.version
 	n.version++
 	n.run(time.Second)
-	is.True(n.gate.Trusted(n.now, old)) // for the rest of its time
+	is.True(n.gate.Trusted(n.now, old)) // for the rest of its trust time
 	n.run(trustTime)
 	is.True(!n.gate.Trusted(n.now, old))
 	is.True(n.gate.Trusted(n.now, n.version))
--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -120,7 +120,7 @@
 		err := g.record(ctx, &lead, account, 0)
 		g.recordMu.Unlock()
 		if err != nil {
-			// The next round tries again; until then the next leader counts too much.
+			// Retried in the next round. Until then a new leader counts more than was used.
 			return
 		}
 	}
@@ -257,7 +257,7 @@
 		return answer
 	}
 	if err := g.record(ctx, lead, request.Account, answer.Record); err != nil {
-		// The node no longer leads, or its majority is gone: nobody can say.
+		// The node no longer leads or has no majority, so the request can be neither granted nor refused.
 		return answer
 	}
 	return g.takeUnits(lead, request, limit)
--- a/src/dispatch/replica.go
+++ b/src/dispatch/replica.go
@@ -53,7 +53,6 @@
 // Outcome is how a request ended.
 type Outcome string
 
-// The outcomes.
 const (
 	// Answered means that the replica answered successfully.
 	Answered Outcome = "answered"
--- a/src/quarantine/fleet_test.go
+++ b/src/quarantine/fleet_test.go
@@ -233,7 +233,7 @@
 			f.partitionedUntil = noon.Add(time.Duration(random.IntN(6)) * time.Second)
 		}
 		poison, common := testDigest(1), testDigest(2)
-		own, turn := 0, 0
+		ownCount, turn := 0, 0
 		next := noon.Add(time.Second)
 		for f.now.Before(noon.Add(30 * time.Second)) {
 			if !f.now.Before(next) {
@@ -243,7 +243,7 @@
 					f.send(at, poison, true, 0)
 				}
 			}
-			f.sendOtherTraffic(common, &own)
+			f.sendOtherTraffic(common, &ownCount)
 			f.step()
 		}
 		if late := f.lateFailures(); late > 3 || len(f.poisonFailures) < Threshold {
@@ -263,14 +263,14 @@
 func TestALossOfManyReplicasCondemnsNothing(t *testing.T) {
 	for seed := range uint64(100) {
 		f := newSimFleet(seed, 1+int(seed%9), 8)
-		common, own := testDigest(2), 0
+		common, ownCount := testDigest(2), 0
 		for i := 0; f.now.Before(noon.Add(20 * time.Second)); i++ {
 			if i%400 == 399 {
 				for _, r := range f.replicas[:4] {
 					f.failReplica(r)
 				}
 			}
-			f.sendOtherTraffic(common, &own)
+			f.sendOtherTraffic(common, &ownCount)
 			f.step()
 		}
 		// A gateway that did not run the content recently can't know that it is harmless; the
--- a/src/quota/allocator.go
+++ b/src/quota/allocator.go
@@ -48,8 +48,8 @@
 // Allocator divides the limits of all accounts among the holders. It is not safe for concurrent
 // use.
 type Allocator struct {
-	terms Terms
-	began time.Time
+	terms     Terms
+	startedAt time.Time
 	// unreported are the holders that may still hold shares of an earlier allocator.
 	unreported map[string]bool
 	// holders is the largest number of holders known.
@@ -102,7 +102,7 @@
 // earlier allocator, and extensions holds the units that accounts may have used beyond their rate.
 // known is the usage last reported to this process.
 func NewAllocator(terms Terms, now time.Time, holders []string, extensions map[string]float64, known PriorUsage) *Allocator {
-	d := &Allocator{known: known, recordedExtensions: extensions, terms: terms, began: now, holders: max(len(holders), 1), unreported: map[string]bool{}, lastReports: map[string]reportOrder{}, accounts: map[string]*account{}}
+	d := &Allocator{known: known, recordedExtensions: extensions, terms: terms, startedAt: now, holders: max(len(holders), 1), unreported: map[string]bool{}, lastReports: map[string]reportOrder{}, accounts: map[string]*account{}}
 	for _, holder := range holders {
 		d.unreported[holder] = true
 	}
@@ -112,7 +112,7 @@
 // leasesKnown reports whether every lease in use is known: all holders have reported, or the leases
 // of earlier allocators have expired.
 func (d *Allocator) leasesKnown(now time.Time) bool {
-	return len(d.unreported) == 0 || !now.Before(d.began.Add(d.terms.Lease+leaseMargin))
+	return len(d.unreported) == 0 || !now.Before(d.startedAt.Add(d.terms.Lease+leaseMargin))
 }
 
 // Report processes a holder's report and returns the shares that the holder may use for one lease
@@ -149,12 +149,12 @@
 
 // endUnreported ends the leases that the holder no longer reports, since it no longer uses them.
 func (d *Allocator) endUnreported(now time.Time, report Report) {
-	told := make(map[string]bool, len(report.Shares))
+	reported := make(map[string]bool, len(report.Shares))
 	for _, share := range report.Shares {
-		told[share.Account] = true
+		reported[share.Account] = true
 	}
 	for name, a := range d.accounts {
-		if _, leased := a.leases[report.Holder]; leased && !told[name] {
+		if _, found := a.leases[report.Holder]; found && !reported[name] {
 			delete(a.leases, report.Holder)
 			d.updateUnleased(now, a)
 		}
@@ -162,45 +162,45 @@
 }
 
 // renewLease returns the rate that a holder may use from now on.
-func (d *Allocator) renewLease(now time.Time, a *account, holder string, told Share) float64 {
+func (d *Allocator) renewLease(now time.Time, a *account, holder string, reported Share) float64 {
 	expires := now.Add(d.terms.Lease + leaseMargin)
-	a.leases[holder] = lease{rate: told.Rate, expires: expires, demand: told.Demand, demandAt: now}
+	a.leases[holder] = lease{rate: reported.Rate, expires: expires, demand: reported.Demand, demandAt: now}
 	rate := d.fairRate(now, a, holder)
 	if a.extension.inUse(now) {
 		// Leases can't be revoked early, so the remaining rate is left to the extension.
 		rate = 0
 	}
-	room := leasableFraction*a.limit.Rate - d.leasedExcept(now, a, holder)
+	available := leasableFraction*a.limit.Rate - d.leasedExcept(now, a, holder)
 	if !d.leasesKnown(now) {
-		room = min(room, told.Rate)
+		available = min(available, reported.Rate)
 	}
-	rate = min(rate, max(room, 0))
+	rate = min(rate, max(available, 0))
 	// The holder may use its old rate until it reports a lower one.
-	a.leases[holder] = lease{rate: max(rate, told.Rate), expires: expires, demand: told.Demand, demandAt: now}
+	a.leases[holder] = lease{rate: max(rate, reported.Rate), expires: expires, demand: reported.Demand, demandAt: now}
 	d.updateUnleased(now, a)
 	return rate
 }
 
 // fairRate returns the holder's part of the leasable rate in proportion to its demand.
 func (d *Allocator) fairRate(now time.Time, a *account, holder string) float64 {
-	all := 0.0
+	totalDemand := 0.0
 	for _, l := range a.leases {
 		if now.Sub(l.demandAt) < demandTTL {
-			all += l.demand
+			totalDemand += l.demand
 		}
 	}
-	if all <= 0 {
+	if totalDemand <= 0 {
 		return 0
 	}
-	return leasableFraction * a.limit.Rate * a.leases[holder].demand / all
+	return leasableFraction * a.limit.Rate * a.leases[holder].demand / totalDemand
 }
 
 // leasedExcept returns the rate leased to all holders but one.
 func (d *Allocator) leasedExcept(now time.Time, a *account, excluded string) float64 {
 	sum := 0.0
-	for holder, p := range a.leases {
-		if holder != excluded && now.Before(p.expires) {
-			sum += p.rate
+	for holder, l := range a.leases {
+		if holder != excluded && now.Before(l.expires) {
+			sum += l.rate
 		}
 	}
 	return sum
@@ -211,12 +211,12 @@
 	a := d.accounts[name]
 	if a == nil {
 		span := d.terms.Window + d.terms.Life
-		a = &account{limit: limit, leases: map[string]lease{}, leasedRateAt: d.began, spent: slidingWindow{span: span}}
+		a = &account{limit: limit, leases: map[string]lease{}, leasedRateAt: d.startedAt, spent: slidingWindow{span: span}}
 		// The bucket starts empty but fills from the allocator's start.
-		a.unleased = bucket{at: d.began}
+		a.unleased = bucket{at: d.startedAt}
 		a.extension = extension{used: slidingWindow{span: span}, recorded: d.recordedExtensions[name]}
 		d.restoreUsage(a, name)
-		d.updateUnleased(d.began, a)
+		d.updateUnleased(d.startedAt, a)
 		d.accounts[name] = a
 	}
 	a.used = now
@@ -275,16 +275,16 @@
 	if d.leasesKnown(now) {
 		return 0
 	}
-	return leasableFraction * limit.Rate * d.began.Add(d.terms.Lease+leaseMargin).Sub(now).Seconds()
+	return leasableFraction * limit.Rate * d.startedAt.Add(d.terms.Lease+leaseMargin).Sub(now).Seconds()
 }
 
 // remaining returns the units left in the present window if holders use their leases in full and
 // holders that have not reported use unreportedUse.
 func (a *account) remaining(now time.Time, terms *Terms, unreportedUse float64) float64 {
 	remaining := a.limit.Rate*terms.Window.Seconds() + a.limit.Burst - a.spent.used(now) - unreportedUse
-	for _, p := range a.leases {
-		if rest := p.expires.Sub(now); rest > 0 {
-			remaining -= p.rate * rest.Seconds()
+	for _, l := range a.leases {
+		if timeLeft := l.expires.Sub(now); timeLeft > 0 {
+			remaining -= l.rate * timeLeft.Seconds()
 		}
 	}
 	return remaining
@@ -294,8 +294,8 @@
 // available: until the bucket holds them or, if the window is used up, until enough use has left
 // it.
 func (a *account) noteRefusal(now time.Time, units, left float64) time.Duration {
-	passed := now.Sub(a.refusedAt).Seconds()
-	a.refusedUnits = max(a.refusedUnits-passed*a.limit.Rate, 0) + units
+	elapsed := now.Sub(a.refusedAt).Seconds()
+	a.refusedUnits = max(a.refusedUnits-elapsed*a.limit.Rate, 0) + units
 	a.refusedAt = now
 	if a.limit.Rate <= 0 {
 		return never
@@ -323,7 +323,7 @@
 		}
 	}
 	for name := range d.recordedExtensions {
-		if d.accounts[name] == nil && !now.Before(d.began.Add(d.terms.Window+d.terms.Life)) {
+		if d.accounts[name] == nil && !now.Before(d.startedAt.Add(d.terms.Window+d.terms.Life)) {
 			ended = append(ended, name)
 		}
 	}
--- a/src/quota/bucket.go
+++ b/src/quota/bucket.go
@@ -17,18 +17,18 @@
 
 // advance adds the units for the time since the last call.
 func (b *bucket) advance(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
 		b.at = now
-		b.add(passed * b.rate)
+		b.add(elapsed * b.rate)
 	}
 }
 
 // add adds units up to the depth and counts the rest as overflow.
 func (b *bucket) add(units float64) {
 	b.level += units
-	if over := b.level - b.depth; over > 0 {
+	if excess := b.level - b.depth; excess > 0 {
 		b.level = b.depth
-		b.overflow += over
+		b.overflow += excess
 	}
 }
 
--- a/src/quota/meter.go
+++ b/src/quota/meter.go
@@ -27,8 +27,8 @@
 }
 
 func (m *meter) decay(now time.Time) {
-	if passed := now.Sub(m.at); passed > 0 {
-		m.sum *= math.Exp(-passed.Seconds() / meterTimeConstant.Seconds())
+	if elapsed := now.Sub(m.at); elapsed > 0 {
+		m.sum *= math.Exp(-elapsed.Seconds() / meterTimeConstant.Seconds())
 		m.at = now
 	}
 }
--- a/src/quota/quota_test.go
+++ b/src/quota/quota_test.go
@@ -29,14 +29,14 @@
 		}
 		w := newSimulation(leased, testTerms(), limits, 6, 24, random)
 		chance := rapid.SampledFrom([]float64{0, 0.0005, 0.002, 0.01}).Draw(t, "chance of a fault in a step")
-		lull := time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "lull between floods"))
+		pause := time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "lull between floods"))
 		flood := rapid.Float64Range(0.3, 8).Draw(t, "asked, as a part of the limit")
-		rest := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "rest before the flood"))
-		w.idle(rest)
+		idleTime := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "rest before the flood"))
+		w.idle(idleTime)
 		for i := range 3500 {
 			w.advance()
 			if i%500 == 499 {
-				w.idle(lull)
+				w.idle(pause)
 			}
 			if random.Float64() < chance {
 				w.injectFault()
@@ -74,10 +74,10 @@
 	}
 }
 
-// flood sends one step's requests of an account, as a multiple of its limit.
-func (w *simulation) flood(account string, limit Limit, part float64) {
+// flood sends one step's requests of an account at a multiple of its limit.
+func (w *simulation) flood(account string, limit Limit, multiple float64) {
 	const units = 2400
-	for left := part * limit.Rate * step.Seconds(); left > 0; left -= units {
+	for left := multiple * limit.Rate * step.Seconds(); left > 0; left -= units {
 		if left < units && w.random.Float64() > left/units {
 			return
 		}
@@ -108,17 +108,17 @@
 // normalLoad sends one step's share of an account's usual requests through its gateways.
 func (w *simulation) normalLoad(account string, limit Limit, gateways int) {
 	const (
-		units  = 2400
-		clump  = 3
-		part   = 1 / 1.8
-		period = 11 * time.Second
+		units    = 2400
+		burst    = 3
+		fraction = 1 / 1.8
+		period   = 11 * time.Second
 	)
 	phase := float64(w.now.Sub(noon)%period) / float64(period)
 	wave := 1 + 0.27*(1-4*max(phase-0.5, 0.5-phase))
-	clumps := part * wave * limit.Rate * step.Seconds() / units / clump
-	for ; w.random.Float64() < clumps; clumps-- {
+	bursts := fraction * wave * limit.Rate * step.Seconds() / units / burst
+	for ; w.random.Float64() < bursts; bursts-- {
 		gateway := w.random.IntN(gateways)
-		for range clump {
+		for range burst {
 			w.ask(gateway, account, units, 0)
 		}
 	}
--- a/src/quota/usage.go
+++ b/src/quota/usage.go
@@ -87,16 +87,16 @@
 	if !known {
 		// The use beyond the rate that an earlier allocator granted has to be recovered first.
 		a.unleased.level = -recorded
-		a.extension.blockedUntil = d.began.Add(a.spent.span)
+		a.extension.blockedUntil = d.startedAt.Add(a.spent.span)
 		return
 	}
 	part := a.spent.span / usageCells
 	for i := len(usage.Used) - 1; i >= 0; i-- {
 		a.spent.add(d.known.receivedAt.Add(-time.Duration(i)*part), usage.Used[i])
 	}
-	since := d.began.Sub(d.known.requestedAt).Seconds()
+	since := d.startedAt.Sub(d.known.requestedAt).Seconds()
 	// Units given back by holders may have been maxSaved since, too.
 	maxSaved := usage.Level + d.terms.maxSaved(a.limit)
-	a.spent.add(d.began, max(since, 0)*a.limit.Rate+maxSaved+max(recorded-usage.Extended, 0))
-	a.extension.used.add(d.began, max(recorded, usage.Extended))
+	a.spent.add(d.startedAt, max(since, 0)*a.limit.Rate+maxSaved+max(recorded-usage.Extended, 0))
+	a.extension.used.add(d.startedAt, max(recorded, usage.Extended))
 }
--- a/src/ratelimit/limit_test.go
+++ b/src/ratelimit/limit_test.go
@@ -115,12 +115,12 @@
 	start := time.Unix(1_800_000_000, 0)
 	var s schedule
 	s.reset(start, p)
-	came, served := 0, 0
+	arrived, served := 0, 0
 	for at := time.Duration(0); at < span; at += time.Duration(random.ExpFloat64() / (load * perSecond) * float64(time.Second)) {
-		came++
+		arrived++
 		if _, taken := s.take(start.Add(at), p, Ahead); taken {
 			served++
 		}
 	}
-	return float64(served) / float64(came)
+	return float64(served) / float64(arrived)
 }
--- a/src/route/baseline.go
+++ b/src/route/baseline.go
@@ -4,7 +4,7 @@
 // neither the gateway's own requests nor limits.
 type Mode string
 
-// The modes.
+// Hosts are chosen by the expected wait, in turn, or by the last reported load.
 const (
 	ByCost        Mode = "cost"
 	RoundRobin    Mode = "round-robin"
--- a/src/route/pick.go
+++ b/src/route/pick.go
@@ -22,7 +22,6 @@
 // Verdict is the result of a choice.
 type Verdict uint8
 
-// The verdicts.
 const (
 	// Chosen means that a host was found.
 	Chosen Verdict = iota
