--- a/src/catalog/account.go
+++ b/src/catalog/account.go
@@ -5,12 +5,12 @@
 	"encoding/hex"
 )
 
-// Key is a secret that a client account's requests carry. Printed, it shows only its
+// Key is a secret that identifies a client account's requests. Formatting it prints only its
 // fingerprint.
 type Key string
 
-// fingerprintBytes is how much of a key's hash is shown: enough to tell an operator's
-// keys apart, too little to search for one.
+// fingerprintBytes is the number of printed bytes of a key's hash: enough to tell an operator's
+// keys apart, too few to search for a key.
 const fingerprintBytes = 4
 
 // String returns the key's fingerprint.
@@ -22,41 +22,41 @@
 // GoString returns the key's fingerprint.
 func (k Key) GoString() string { return k.String() }
 
-// Unit says what a client account's limit counts.
+// Unit is what a client account's limit counts.
 type Unit string
 
 // The units of a limit.
 const (
 	// Requests counts each request as one.
 	Requests Unit = "requests"
-	// Tokens counts the tokens of the prompt and the most that may come out.
+	// Tokens counts the tokens of the prompt plus the maximum number of output tokens.
 	Tokens Unit = "tokens"
 )
 
-// Limit is how much a client account may ask for, over all gateways together.
+// Limit is the rate limit of a client account, over all gateways together.
 type Limit struct {
 	Unit Unit
-	// Rate is in units a second, 0 for no limit.
+	// Rate is in units per second, 0 for no limit.
 	Rate float64
-	// Burst is what may come on top, in units.
+	// Burst is how many units may exceed the rate at once.
 	Burst float64
 }
 
-// Account is a client account with the keys by which its requests are known.
+// Account is a client account with the keys that identify its requests.
 type Account struct {
 	Name string
 	Keys []Key
-	// Priority goes before the route's, nil if the account has none.
+	// Priority overrides the route's priority unless it is nil.
 	Priority *int
-	// Regions are those in which its requests may be served, empty for all.
+	// Regions are the regions in which the account's requests may be served, empty for all.
 	Regions []string
 	Limit   Limit
-	// DefaultTokens is what a request counts that does not tell its tokens.
+	// DefaultTokens is the cost of a request that does not state its tokens.
 	DefaultTokens int
 }
 
-// Cost is what a request counts against the account's limit, in its unit; tokens is 0 if
-// the request does not tell them.
+// Cost returns a request's cost in the unit of the account's limit. tokens is 0 if the request does
+// not state them.
 func (a *Account) Cost(tokens int) float64 {
 	switch {
 	case a.Limit.Unit != Tokens:
--- a/src/catalog/account_test.go
+++ b/src/catalog/account_test.go
@@ -11,7 +11,7 @@
 const secret = "q7w2-a-client's-secret"
 
 func keyed(accounts ...Account) Document {
-	d := sound()
+	d := validDocument()
 	d.Keyed = true
 	d.Accounts = accounts
 	return d
@@ -74,7 +74,7 @@
 	is.Equal(testing.AllocsPerRun(100, func() { table.AccountOf("key-of-5000") }), 0.0)
 }
 
-// BenchmarkAccountOf states that a lookup costs the same for few and many accounts.
+// BenchmarkAccountOf shows that the cost of a lookup does not depend on the number of accounts.
 func BenchmarkAccountOf(b *testing.B) {
 	for _, n := range []int{16, 10000} {
 		table := manyAccounts(n)
--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func sound() Document {
+func validDocument() Document {
 	return Document{
 		Version:  1,
 		Services: []Service{{Name: "s"}, {Name: "t"}},
@@ -19,9 +19,9 @@
 	}
 }
 
-func TestSoundDocumentHasNoFindings(t *testing.T) {
+func TestValidDocumentHasNoFindings(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Check(sound())), 0)
+	is.Equal(len(Check(validDocument())), 0)
 }
 
 func TestEveryFaultIsFoundWithItsPlace(t *testing.T) {
@@ -36,11 +36,11 @@
 		"service twice":    func(d *Document) { d.Services[1].Name = "s" },
 		"nameless service": func(d *Document) { d.Services[1].Name = "" },
 	}
-	for name, spoil := range faults {
+	for name, addFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := sound()
-			spoil(&d)
+			d := validDocument()
+			addFault(&d)
 			findings := Check(d)
 			is.True(len(findings) > 0)
 			is.True(findings[0].Place != "")
@@ -51,7 +51,7 @@
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	is := is.New(t)
-	table := NewTable(sound())
+	table := NewTable(validDocument())
 	is.Equal(table.Match("A.example:80", "/x/y/z").Name, "b")
 	is.Equal(table.Match("a.example", "/x/z").Name, "a")
 	is.True(table.Match("a.example", "/x") == nil)
--- a/src/catalog/check.go
+++ b/src/catalog/check.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Finding is one fault of a document, with its place.
+// Finding is an error in a document and its location.
 type Finding struct {
 	Place   string
 	Message string
 }
 
-// Findings are the faults of a document; as an error they list all of them.
+// Findings are the errors in a document. As an error value they list all of them.
 type Findings []Finding
 
-// Error lists the findings.
+// Error returns all findings as one text.
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
@@ -23,9 +23,9 @@
 	return strings.Join(lines, "; ")
 }
 
-// Check returns every fault of a document, nil if it is sound.
+// Check returns every error in a document, nil if it is valid.
 func Check(d Document) Findings {
-	c := &checker{services: map[string]bool{}, places: map[place]string{}, accounts: map[string]bool{}, holders: map[Key]string{}}
+	c := &checker{services: map[string]bool{}, routes: map[routeKey]string{}, accounts: map[string]bool{}, holders: map[Key]string{}}
 	for i, service := range d.Services {
 		c.service(i, service)
 	}
@@ -38,16 +38,16 @@
 	return c.findings
 }
 
-type place struct {
+type routeKey struct {
 	host   string
 	prefix string
 }
 
 type checker struct {
 	services map[string]bool
-	places   map[place]string
+	routes   map[routeKey]string
 	accounts map[string]bool
-	// holders are the accounts' names by key.
+	// holders maps keys to the names of the accounts that hold them.
 	holders  map[Key]string
 	findings Findings
 }
@@ -72,11 +72,11 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		c.add(at, "the path prefix %q must begin and end with a slash", r.Prefix)
 	}
-	key := place{host: normalHost(r.Host), prefix: r.Prefix}
-	if other, taken := c.places[key]; taken {
+	key := routeKey{host: canonicalHost(r.Host), prefix: r.Prefix}
+	if other, taken := c.routes[key]; taken {
 		c.add(at, "has the host and path prefix of route %q", other)
 	}
-	c.places[key] = r.Name
+	c.routes[key] = r.Name
 	if r.Timeout <= 0 {
 		c.add(at, "the time-out must be above 0")
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// account checks one client account; no finding shows a key.
+// account checks a client account. No finding contains a key.
 func (c *checker) account(i int, a *Account) {
 	at := fmt.Sprintf("accounts[%d] %q", i, a.Name)
 	if a.Name == "" {
@@ -116,13 +116,13 @@
 		c.add(at, "the unit %q is not known", a.Limit.Unit)
 	}
 	for j, key := range a.Keys {
-		place := fmt.Sprintf("%s keys[%d]", at, j)
+		keyAt := fmt.Sprintf("%s keys[%d]", at, j)
 		other, taken := c.holders[key]
 		switch {
 		case key == "":
-			c.add(place, "is empty")
+			c.add(keyAt, "is empty")
 		case taken && other != a.Name:
-			c.add(place, "the client accounts %q and %q hold the same key (%s)", other, a.Name, key)
+			c.add(keyAt, "the client accounts %q and %q hold the same key (%s)", other, a.Name, key)
 		}
 		c.holders[key] = a.Name
 	}
--- a/src/catalog/doc.go
+++ b/src/catalog/doc.go
@@ -1,4 +1,4 @@
-// Package catalog holds the whole configuration that operators send under a
-// version: routes, the services behind them and the engines' models. It checks
-// a document and finds the route of a request; it does no input or output.
+// Package catalog holds the configuration that operators submit under a version: routes, the
+// services behind them and the models of the engines. It validates a document and finds the route
+// of a request. It does no input or output.
 package catalog
--- a/src/catalog/residency.go
+++ b/src/catalog/residency.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Residency says in which regions a request may be served: those of its route and of its client
-// account, both of which bind.
+// Residency restricts the regions in which a request may be served. The regions of its route and of
+// its client account both apply.
 type Residency struct {
 	route   []string
 	account []string
 }
 
-// ResidencyOf returns that of a route's request, for a client account or nil.
+// ResidencyOf returns the residency of a route's request from a client account, which may be nil.
 func ResidencyOf(route *Route, account *Account) Residency {
 	r := Residency{route: route.Regions}
 	if account != nil {
@@ -18,10 +18,10 @@
 	return r
 }
 
-// Bound reports whether some region may be left out.
+// Bound reports whether there is any restriction.
 func (r Residency) Bound() bool { return len(r.route) > 0 || len(r.account) > 0 }
 
-// Allows reports whether a request may be served in a region; "" is one that is not known.
+// Allows reports whether a request may be served in a region; "" stands for an unknown region.
 func (r Residency) Allows(region string) bool {
 	return allows(r.route, region) && allows(r.account, region)
 }
--- a/src/catalog/table.go
+++ b/src/catalog/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table finds routes and services of one document; it does not change.
+// Table indexes the routes, services and accounts of one document. It is immutable.
 type Table struct {
 	document Document
 	routes   map[string][]*Route
@@ -15,14 +15,14 @@
 	accounts map[string]*Account
 }
 
-// NewTable returns the table of a sound document.
+// NewTable returns the table of a valid document.
 func NewTable(d Document) *Table {
 	t := &Table{document: d, routes: map[string][]*Route{}, services: map[string]*Service{}}
 	t.byKey = make(map[Key]*Account, len(d.Accounts))
 	t.accounts = make(map[string]*Account, len(d.Accounts))
 	for i := range t.document.Routes {
 		route := &t.document.Routes[i]
-		host := normalHost(route.Host)
+		host := canonicalHost(route.Host)
 		t.routes[host] = append(t.routes[host], route)
 	}
 	for _, routes := range t.routes {
@@ -48,22 +48,21 @@
 // Document returns the whole document; the caller must not change it.
 func (t *Table) Document() *Document { return &t.document }
 
-// Service returns the service of a name, nil if there is none.
+// Service returns the service with a name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // Keyed reports whether requests need the key of a client account.
 func (t *Table) Keyed() bool { return t.document.Keyed }
 
-// AccountOf returns the client account that holds a key, nil if none does.
+// AccountOf returns the client account that holds a key, nil if there is none.
 func (t *Table) AccountOf(key Key) *Account { return t.byKey[key] }
 
-// Account returns the client account of a name, nil if there is none.
+// Account returns the client account with a name, nil if there is none.
 func (t *Table) Account(name string) *Account { return t.accounts[name] }
 
-// Match returns the route of the host whose prefix begins the path and is
-// longest, nil if there is none.
+// Match returns the route of the host with the longest prefix of the path, nil if there is none.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.routes[normalHost(host)] {
+	for _, route := range t.routes[canonicalHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// Pick returns the service that a draw of [0, 1) falls on.
+// Pick returns the service selected by a random number in [0, 1), in proportion to the weights.
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, split := range r.Splits {
@@ -87,8 +86,8 @@
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// normalHost takes the port and the letters' case off a host name.
-func normalHost(host string) string {
+// canonicalHost strips the port from a host name and lowercases it.
+func canonicalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
--- a/src/discovery/doc.go
+++ b/src/discovery/doc.go
@@ -1,3 +1,3 @@
-// Package discovery is the one place that speaks to the platform's list of
-// hosts, which lags behind reality.
+// Package discovery reads the platform's list of hosts, which lags behind the real state. No other
+// package accesses the list.
 package discovery
--- a/src/discovery/list.go
+++ b/src/discovery/list.go
@@ -14,20 +14,20 @@
 	"github.com/moorspool/moorspool/src/fault"
 )
 
-// PathHosts is where the list is read.
+// PathHosts is the path of the list.
 const PathHosts = "/hosts"
 
-// HeaderVersion carries the list's version; a reader that sends the one it has
-// gets an empty 304 if nothing changed.
+// HeaderVersion is the header with the list's version. A request with the current version is
+// answered by an empty 304.
 const HeaderVersion = "X-List-Version"
 
-// The list reader's times.
+// The timeouts of reading the list.
 const (
 	dialTimeout = time.Second
 	readTimeout = 2 * time.Second
 )
 
-// Host is a line of the platform's list.
+// Host is an entry of the platform's list.
 type Host struct {
 	Name    string `json:"name"`
 	Pool    string `json:"pool"`
@@ -42,14 +42,14 @@
 	Hosts   []Host `json:"hosts"`
 }
 
-// Reader reads the list; it is used by one goroutine.
+// Reader reads the list. It is not safe for concurrent use.
 type Reader struct {
 	client *client.Client
 	url    string
 	last   List
 }
 
-// NewReader returns a reader of the list at an address.
+// NewReader returns a reader of the list served at an address.
 func NewReader(address string, cut *fault.Cut) (*Reader, error) {
 	c, err := client.NewClient(
 		client.WithDialer(cut.NewDialer()),
@@ -62,7 +62,7 @@
 	return &Reader{client: c, url: "http://" + address + PathHosts}, nil
 }
 
-// Read returns the newest list, and whether it differs from the one before.
+// Read returns the current list and whether it differs from the previous one.
 func (r *Reader) Read(ctx context.Context) (List, bool, error) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
--- a/src/feed/drain_test.go
+++ b/src/feed/drain_test.go
@@ -14,8 +14,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// drained returns the drained zones that a follower acts on.
-func (s *seen) drained() []string {
+// drained returns the drained zones that the sink received last.
+func (s *recordingSink) drained() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.drains == nil {
@@ -24,32 +24,33 @@
 	return s.drains.Zones
 }
 
-// TestDrainsReachAGatewayWhoeverHasAppliedThem: the node that it follows lags behind another one.
-func TestDrainsReachAGatewayWhoeverHasAppliedThem(t *testing.T) {
+// TestDrainsReachGatewaysFromAnyControlNode covers a followed node that lags behind another one.
+func TestDrainsReachGatewaysFromAnyControlNode(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
-	_, s := n.gatewayIn("z", nil)
+	_, s := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	n.nodes[0].drain(1, "x")
-	eventually(t, "the gateway acts on it", func() bool { return slices.Equal(s.drained(), []string{"x"}) })
+	eventually(t, "the gateway applies the drain", func() bool { return slices.Equal(s.drained(), []string{"x"}) })
 	n.nodes[0].drain(2)
-	eventually(t, "the gateway acts on its end", func() bool { return len(s.drained()) == 0 })
+	eventually(t, "the gateway applies its end", func() bool { return len(s.drained()) == 0 })
 	n.nodes[1].drain(1, "x")
 	n.nodes[0].drain(3, "y")
-	eventually(t, "the next order counts", func() bool { return slices.Equal(s.drained(), []string{"y"}) })
+	eventually(t, "the gateway applies the next order", func() bool { return slices.Equal(s.drained(), []string{"y"}) })
 }
 
-// TestAGatewayThatComesLaterKnowsTheDrainsBeforeAnyReplica.
+// TestAGatewayThatComesLaterKnowsTheDrainsBeforeAnyReplica guards against requests to a drained
+// zone from a gateway that has just started.
 func TestAGatewayThatComesLaterKnowsTheDrainsBeforeAnyReplica(t *testing.T) {
 	is := is.New(t)
 	n := newZonedNet(t, "x", "y", "z")
 	n.nodes[0].drain(1, "x")
 	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Zone: "x", Sequence: 1})
-	eventually(t, "the zone's node knows both", func() bool {
+	eventually(t, "the zone's node has the drain and the replica", func() bool {
 		known := n.nodes[2].follower.Known()
 		return known.Drains != nil && known.Drains.Revision == 1 && known.Stamp > 0
 	})
 	knew := make(chan bool, 1)
-	s := &seen{}
+	s := &recordingSink{}
 	sink := s.sink()
 	take := sink.Replicas
 	sink.Replicas = func(changes registry.Changes) {
@@ -68,14 +69,14 @@
 	is.True(<-knew)
 }
 
-// TestAnOlderStateOfDrainsIsNotTakenIn: a source may lag behind the one before it.
-func TestAnOlderStateOfDrainsIsNotTakenIn(t *testing.T) {
+// TestOlderDrainsAreIgnored covers a source that lags behind the previous one.
+func TestOlderDrainsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	s := &seen{}
+	s := &recordingSink{}
 	f := NewFollower(Options{Node: "g", Gateway: true}, s.sink(), &rpc.Meter{}, nil, nil, time.Now)
-	f.takeDrains(&wire.ZoneDrains{Revision: 2})
-	f.takeDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"x"}})
+	f.applyDrains(&wire.ZoneDrains{Revision: 2})
+	f.applyDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"x"}})
 	is.Equal(len(s.drained()), 0)
-	f.takeDrains(&wire.ZoneDrains{Revision: 3, Zones: []string{"y"}})
+	f.applyDrains(&wire.ZoneDrains{Revision: 3, Zones: []string{"y"}})
 	is.Equal(s.drained(), []string{"y"})
 }
--- a/src/feed/feed_test.go
+++ b/src/feed/feed_test.go
@@ -31,7 +31,8 @@
 	})
 }
 
-// TestANodeWithoutMembersAcknowledgesNoLeaving: alone it is no majority, whatever it saves.
+// TestANodeWithoutMembersAcknowledgesNoLeaving guards against such a node counting itself as a
+// majority.
 func TestANodeWithoutMembersAcknowledgesNoLeaving(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
@@ -68,7 +69,7 @@
 	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true}))
 	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when sent again
 	is.True(!alone.Remove(ctx, "r"))
-	eventually(t, "gateways learn of it all the same", func() bool {
+	eventually(t, "gateways learn of it nevertheless", func() bool {
 		known, usable := s.usable("r")
 		return known && !usable
 	})
@@ -81,7 +82,7 @@
 	is.True(p.Remove(context.Background(), "r"))
 	p.Hear(context.Background(), registry.Record{ID: "r", Sequence: 9})
 	s := n.follow(n.nodes[0].server.Address())
-	eventually(t, "a late call does not bring it back", func() bool {
+	eventually(t, "a late heartbeat does not restore it", func() bool {
 		known, usable := s.usable("r")
 		return known && !usable
 	})
@@ -90,7 +91,7 @@
 func TestConfigurationsOnlyGrow(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
-	n.nodes[0].put(4, "four")
+	n.nodes[0].setDocument(4, "four")
 	s := n.follow(n.addresses()...)
 	has := func(version uint64) func() bool {
 		return func() bool {
@@ -100,24 +101,24 @@
 		}
 	}
 	eventually(t, "version 4 is in force", has(4))
-	n.nodes[1].put(3, "three")
-	n.nodes[2].put(7, "seven")
+	n.nodes[1].setDocument(3, "three")
+	n.nodes[2].setDocument(7, "seven")
 	eventually(t, "version 7 is in force", has(7))
-	n.nodes[0].put(5, "five")
-	n.nodes[0].put(8, "eight")
+	n.nodes[0].setDocument(5, "five")
+	n.nodes[0].setDocument(8, "eight")
 	eventually(t, "version 8 is in force", has(8))
 	for i := 1; i < len(s.versions); i++ {
 		is.True(s.versions[i] > s.versions[i-1])
 	}
 }
 
-// TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain: the version was moved before the
-// configuration was read, so that one that failed once was never fetched again and the
-// gateway acted on the one before for good.
+// TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain guards against advancing the version before
+// the configuration is applied: one that failed once was never fetched again, and the gateway kept
+// using the previous one.
 func TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain(t *testing.T) {
 	n := newTestNet(t, 1)
-	n.nodes[0].put(4, "four")
-	s := &seen{refuse: 2}
+	n.nodes[0].setDocument(4, "four")
+	s := &recordingSink{refuse: 2}
 	f := NewFollower(Options{Node: "g", Zone: "z", Gateway: true, Seeds: n.addresses()}, s.sink(), &rpc.Meter{}, nil, nil, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -129,48 +130,48 @@
 	})
 }
 
-// TestFailedFetchesAreAskedAgainMoreAndMoreSeldom: a control node that is short of time is
-// not asked without end.
-func TestFailedFetchesAreAskedAgainMoreAndMoreSeldom(t *testing.T) {
+// TestFailedFetchesBackOff guards against overloading a control node that is short of processor
+// time.
+func TestFailedFetchesBackOff(t *testing.T) {
 	is := is.New(t)
-	is.Equal(refetchPause(0), refetchAfter)
-	is.Equal(refetchPause(1), 2*refetchAfter)
-	is.Equal(refetchPause(100), refetchLongest)
+	is.Equal(refetchDelay(0), minRefetchDelay)
+	is.Equal(refetchDelay(1), 2*minRefetchDelay)
+	is.Equal(refetchDelay(100), maxRefetchDelay)
 }
 
-func TestOnlyTheLeaderIsToldWhatRequestsAskFor(t *testing.T) {
+func TestUsageGoesOnlyToTheLeader(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
-	f := NewFollower(Options{Node: "a", Zone: "z", Seeds: n.addresses()}, (&seen{}).sink(), &rpc.Meter{}, nil, nil, time.Now)
+	f := NewFollower(Options{Node: "a", Zone: "z", Seeds: n.addresses()}, (&recordingSink{}).sink(), &rpc.Meter{}, nil, nil, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.Run(ctx)
 	eventually(t, "all nodes are followed", func() bool { return f.Live() == 3 })
 	f.NotifyLeader(ctx, wire.MethodUsage, wire.Usage{})
-	eventually(t, "without a leader everyone is told", func() bool {
+	eventually(t, "without a leader all nodes are notified", func() bool {
 		return n.nodes[0].usage.Load() == 1 && n.nodes[1].usage.Load() == 1 && n.nodes[2].usage.Load() == 1
 	})
-	n.nodes[1].leads.Store(true)
+	n.nodes[1].leading.Store(true)
 	eventually(t, "the leader is known", func() bool { leaders, _ := f.leaders(); return len(leaders) == 1 })
 	for range 5 {
 		f.NotifyLeader(ctx, wire.MethodUsage, wire.Usage{})
 	}
-	eventually(t, "the leader is told", func() bool { return n.nodes[1].usage.Load() == 6 })
+	eventually(t, "the leader is notified", func() bool { return n.nodes[1].usage.Load() == 6 })
 	is.Equal(n.nodes[0].usage.Load(), int64(1))
 	is.Equal(n.nodes[2].usage.Load(), int64(1))
 	f.NotifyOthers(ctx, wire.MethodUsage, wire.Usage{})
-	eventually(t, "the others are told apart", func() bool { return n.nodes[0].usage.Load() == 2 && n.nodes[2].usage.Load() == 2 })
+	eventually(t, "the others are notified separately", func() bool { return n.nodes[0].usage.Load() == 2 && n.nodes[2].usage.Load() == 2 })
 	is.Equal(n.nodes[1].usage.Load(), int64(6))
 }
 
-// TestASlowFetchIsNoLostNode: a configuration that takes its time comes into force,
-// and the node that gives it counts as in reach all the while.
+// TestASlowFetchIsNoLostNode checks that a configuration that takes long to fetch comes into force,
+// and that the node counts as connected in the meantime.
 func TestASlowFetchIsNoLostNode(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	n.nodes[0].slow.Store(int64(700 * time.Millisecond))
-	n.nodes[0].put(5, "five")
-	s := &seen{}
+	n.nodes[0].setDocument(5, "five")
+	s := &recordingSink{}
 	ring := event.NewRing("g", 64, nil, time.Now)
 	f := NewFollower(Options{Node: "g", Zone: "z", Gateway: true, Seeds: n.addresses()}, s.sink(), &rpc.Meter{}, nil, ring, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/src/feed/fetch.go
+++ b/src/feed/fetch.go
@@ -9,23 +9,24 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The pauses after a configuration that was not had, or could not be taken in: others are
-// asked soon, and a control node that is short of time is not asked without end.
+// The bounds of the delay after a configuration could not be fetched or applied. The first retry
+// comes soon; further ones back off to avoid overloading control nodes.
 const (
-	refetchAfter   = 50 * time.Millisecond
-	refetchLongest = 2 * time.Second
+	minRefetchDelay = 50 * time.Millisecond
+	maxRefetchDelay = 2 * time.Second
 )
 
-// fetch gets a newer configuration, if one was announced; the lock is held.
-func (f *Follower) fetch() {
-	if f.fetching || f.sink.Document == nil || !f.newer() {
+// fetchIfNewer starts to fetch the configuration if a newer one was announced. The caller holds the
+// lock.
+func (f *Follower) fetchIfNewer() {
+	if f.fetching || f.sink.Document == nil || !f.newerAnnounced() {
 		return
 	}
 	f.fetching = true
-	go f.fetchAll(f.context)
+	go f.fetchUntilCurrent(f.context)
 }
 
-func (f *Follower) newer() bool {
+func (f *Follower) newerAnnounced() bool {
 	for _, s := range f.sources {
 		if s.live && s.version > f.version {
 			return true
@@ -34,54 +35,56 @@
 	return false
 }
 
-// fetchAll fetches until nothing newer is announced. It asks the own
-// availability zone's control node first and others after a short while.
-func (f *Follower) fetchAll(ctx context.Context) {
+// fetchUntilCurrent fetches configurations until no newer one is announced. It uses control nodes
+// of the own availability zone at first, and others too after otherZoneFetchDelay.
+func (f *Follower) fetchUntilCurrent(ctx context.Context) {
 	began, failures := f.now(), 0
 	for {
 		f.mu.Lock()
-		if !f.newer() || ctx.Err() != nil {
+		if !f.newerAnnounced() || ctx.Err() != nil {
 			f.fetching = false
 			f.mu.Unlock()
 			return
 		}
-		s := f.nearest(f.now().Sub(began) >= farDelay)
+		s := f.fetchSource(f.now().Sub(began) >= otherZoneFetchDelay)
 		f.mu.Unlock()
 		if s == nil {
-			time.Sleep(farDelay / 10)
+			time.Sleep(otherZoneFetchDelay / 10)
 			continue
 		}
 		if f.fetchFrom(ctx, s) {
 			failures = 0
 			continue
 		}
-		time.Sleep(refetchPause(failures))
+		time.Sleep(refetchDelay(failures))
 		failures++
 	}
 }
 
-// refetchPause is the pause after so many failures in a row before the last one.
-func refetchPause(failures int) time.Duration {
-	return min(refetchAfter<<min(failures, 8), refetchLongest)
+// refetchDelay returns the delay before the next attempt, given the number of consecutive failures
+// before the last one.
+func refetchDelay(failures int) time.Duration {
+	return min(minRefetchDelay<<min(failures, 8), maxRefetchDelay)
 }
 
-// nearest returns a source that has a newer configuration: one that did not just
-// fail to give it, then one of the own availability zone, any of them. Far ones
-// count only when allowed.
-func (f *Follower) nearest(far bool) *source {
-	far = far || f.version == 0 || !f.zoneServed()
+// fetchSource returns a source with a newer configuration, nil if there is none. It prefers sources
+// that did not fail to deliver one recently, then those of the own availability zone, and chooses
+// among equals at random. Sources of other zones are used if allowed, if there is no configuration
+// yet, or if no control node of the own zone is connected.
+func (f *Follower) fetchSource(otherZones bool) *source {
+	otherZones = otherZones || f.version == 0 || !f.zoneReachable()
 	var best []*source
 	bestRank := 0
 	for _, s := range f.sources {
 		near := s.zone == f.options.Zone
-		if !s.live || s.version <= f.version || !near && !far {
+		if !s.live || s.version <= f.version || !near && !otherZones {
 			continue
 		}
 		rank := 1
 		if near {
 			rank++
 		}
-		if f.now().Sub(s.refusedAt) > refusalCounts {
+		if f.now().Sub(s.fetchFailedAt) > fetchFailurePenalty {
 			rank += 2
 		}
 		if rank > bestRank {
@@ -97,8 +100,8 @@
 	return best[rand.IntN(len(best))]
 }
 
-// zoneServed reports whether a control node of the own availability zone is in reach.
-func (f *Follower) zoneServed() bool {
+// zoneReachable reports whether a control node of the own availability zone is connected.
+func (f *Follower) zoneReachable() bool {
 	for _, s := range f.sources {
 		if s.live && s.zone == f.options.Zone {
 			return true
@@ -107,8 +110,8 @@
 	return false
 }
 
-// fetchFrom reports whether a source gave a configuration that is in force now. The version
-// moves only then: it says what this process acts on, not what it was given.
+// fetchFrom fetches a configuration from a source and reports whether it is now in force. Only then
+// does the version change: it is the version that this process uses, not the one that it was sent.
 func (f *Follower) fetchFrom(ctx context.Context, s *source) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -117,7 +120,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		s.refusedAt = f.now()
+		s.fetchFailedAt = f.now()
 		return false
 	}
 	if document.Version <= f.version {
@@ -125,7 +128,7 @@
 		return false
 	}
 	if err := f.sink.Document(s.address, document); err != nil {
-		s.refusedAt = f.now()
+		s.fetchFailedAt = f.now()
 		f.ring.Add(event.Event{Kind: event.ConfigUnusable, Host: s.address, Reason: err.Error()})
 		return false
 	}
--- a/src/feed/follower.go
+++ b/src/feed/follower.go
@@ -14,58 +14,58 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The follower's times.
+// The timing of a follower.
 const (
-	// feedSilence is after how long without a sign a stream is tried with a
-	// ping; the ping has as long again.
-	feedSilence = 600 * time.Millisecond
-	// resubscribe is the pause before a lost stream is asked for again.
-	resubscribe = 150 * time.Millisecond
-	// resubscribeUrgent is that pause while no control node is in reach.
-	resubscribeUrgent = 20 * time.Millisecond
-	// resubscribeLongest is that pause for a node that was asked in vain many times,
-	// while others are in reach.
-	resubscribeLongest = 1200 * time.Millisecond
+	// streamSilenceLimit is the time without a message after which a stream's connection is checked
+	// with a ping; the ping may take as long again.
+	streamSilenceLimit = 600 * time.Millisecond
+	// minResubscribeDelay is the delay before the first attempt to reopen a lost stream.
+	minResubscribeDelay = 150 * time.Millisecond
+	// disconnectedResubscribeDelay is that delay while no control node is connected.
+	disconnectedResubscribeDelay = 20 * time.Millisecond
+	// maxResubscribeDelay bounds the delay after repeated failures while other control nodes are
+	// connected.
+	maxResubscribeDelay = 1200 * time.Millisecond
 	// callTimeout bounds each call to a control node.
 	callTimeout = time.Second
-	// farDelay lets a control node of the own availability zone come first when
-	// a new configuration is fetched: bytes between zones are dear.
-	farDelay = 150 * time.Millisecond
-	// refusalCounts is how long a node that gave no configuration comes after others.
-	refusalCounts = 2 * time.Second
-	// trustLost is how long the word of a lost control node counts while others are in reach.
-	trustLost = 6 * time.Second
-	// forgetAfter is how long a replica that left is remembered.
+	// otherZoneFetchDelay is how long only control nodes of the own availability zone are asked for
+	// a new configuration, since traffic between zones is expensive.
+	otherZoneFetchDelay = 150 * time.Millisecond
+	// fetchFailurePenalty is how long a node that failed to deliver a configuration ranks behind
+	// others.
+	fetchFailurePenalty = 2 * time.Second
+	// lostSourceTrust is how long the reports of a lost control node are trusted while others are
+	// connected.
+	lostSourceTrust = 6 * time.Second
+	// forgetAfter is how long a replica that has left is remembered.
 	forgetAfter = 2 * time.Minute
 )
 
-// Sink is what a follower does with the news; the functions are called one at a time.
+// Sink holds a follower's callbacks. They are called one at a time. All but Replicas may be nil.
 type Sink struct {
-	// Document takes in a newer configuration from the control node at an address; after an
-	// error the one before stays in force, and the newer one is fetched again. It is nil if
-	// configurations are of no use here.
+	// Document applies a newer configuration from the control node at an address. After an error
+	// the previous one stays in force, and the newer one is fetched again.
 	Document func(from string, held wire.Document) error
-	// Replicas takes in what changed of the merged replicas.
+	// Replicas receives the changes of the merged replicas.
 	Replicas func(registry.Changes)
-	// Holdings takes in newer holdings; nil if they are of no use here.
+	// Holdings receives newer holdings.
 	Holdings func(*wire.Holdings)
-	// Quarantine takes in what is known of contents under which replicas ended; nil if it is
-	// of no use here.
+	// Quarantine receives the quarantined request contents: those that replicas were running when
+	// they ended.
 	Quarantine func([]quarantine.Entry)
-	// Drains takes in newer drained zones, before the replicas of the same update; nil if they
-	// are of no use here.
+	// Drains receives newer drained zones, before the replicas of the same update.
 	Drains func(*wire.ZoneDrains)
-	// Gateways takes in the number of gateways; nil if it is of no use here.
+	// Gateways receives the number of gateways.
 	Gateways func(int)
-	// Loads takes in what all gateways have under way; nil if it is of no use here.
+	// Loads receives the requests under way at all gateways together.
 	Loads func(wire.LoadReport)
-	// Backlogs takes in what replicas have still to read; nil if it is of no use here.
+	// Backlogs receives the prompts that replicas have yet to read.
 	Backlogs func(wire.Backlogs)
-	// Limits takes in which replicas are limited; nil if it is of no use here.
+	// Limits receives which replicas report a limit.
 	Limits func(wire.Limits)
 }
 
-// Options say who follows.
+// Options identify the follower. Seeds are the addresses of the first control nodes to contact.
 type Options struct {
 	Node    string
 	Zone    string
@@ -73,9 +73,8 @@
 	Seeds   []string
 }
 
-// Follower follows control nodes: a control node follows all others and itself, a
-// gateway one of its own availability zone as long as that is sound. It is safe for
-// concurrent use.
+// Follower subscribes to control nodes: a control node to all of them including itself, a gateway
+// to one of its own availability zone while that one is healthy. It is safe for concurrent use.
 type Follower struct {
 	options Options
 	sink    Sink
@@ -92,18 +91,19 @@
 	drains    *wire.ZoneDrains
 	fetching  bool
 	context   context.Context
-	// changed is closed when something is known that was not before.
+	// changed is closed at the next change of the merged view.
 	changed chan struct{}
-	// check wakes Run when the choice of sources is to be looked at again.
+	// check wakes Run to check the selection of sources.
 	check wakeup.Flag
-	// first is the best sound source, nil if there is none, and firstSince since when.
-	first      *source
-	firstSince time.Time
-	// startNext is when a further source may be followed while none is sound.
-	startNext time.Time
+	// best is the most preferred healthy source, nil if there is none, and bestSince is when it was
+	// selected.
+	best      *source
+	bestSince time.Time
+	// nextStartAt is when one more source may be followed while none is healthy.
+	nextStartAt time.Time
 }
 
-// NewFollower returns a follower of the control nodes that the seeds lead to.
+// NewFollower returns a follower of the control nodes that are found through the seeds.
 func NewFollower(options Options, sink Sink, meter *rpc.Meter, cut *fault.Cut, ring *event.Ring, now func() time.Time) *Follower {
 	return &Follower{
 		options:   options,
@@ -119,13 +119,13 @@
 	}
 }
 
-// Run follows until the context ends.
+// Run follows control nodes until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.mu.Lock()
 	f.context = ctx
 	f.mu.Unlock()
 	f.AddSeeds(f.options.Seeds)
-	timer := time.NewTimer(sweepEvery)
+	timer := time.NewTimer(sweepInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -138,18 +138,18 @@
 	}
 }
 
-// sweep looks for what time alone changes, and returns when to look again.
+// sweep processes what changes by elapsed time alone, and returns the time until the next sweep.
 func (f *Follower) sweep() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	f.directory.Sweep(now, trustLost, f.live() > 0)
-	f.tell()
-	f.reconsider(now)
-	return f.untilCheck(now)
+	f.directory.Sweep(now, lostSourceTrust, f.live() > 0)
+	f.publishChanges()
+	f.updateFollowed(now)
+	return f.nextCheckDelay(now)
 }
 
-// AddSeeds follows further addresses.
+// AddSeeds adds addresses of control nodes to contact.
 func (f *Follower) AddSeeds(addresses []string) {
 	members := make([]wire.Member, 0, len(addresses))
 	for _, address := range addresses {
@@ -157,20 +157,20 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.add(members)
-	f.reconsider(f.now())
+	f.addSources(members)
+	f.updateFollowed(f.now())
 	f.check.Raise()
 }
 
-// Live returns how many control nodes are in reach.
+// Live returns the number of connected control nodes.
 func (f *Follower) Live() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.live()
 }
 
-// alone reports whether no control node is in reach.
-func (f *Follower) alone() bool { return f.Live() == 0 }
+// disconnected reports whether no control node is connected.
+func (f *Follower) disconnected() bool { return f.Live() == 0 }
 
 func (f *Follower) live() int {
 	live := 0
@@ -182,73 +182,75 @@
 	return live
 }
 
-// tell gives the sink what changed of the replicas; the lock is held.
-func (f *Follower) tell() {
+// publishChanges passes changes of the replicas to the sink. The caller holds the lock.
+func (f *Follower) publishChanges() {
 	if changes := f.directory.Changes(); !changes.Empty() {
 		f.sink.Replicas(changes)
-		f.wake()
+		f.notifyChanged()
 	}
 }
 
-// wake says that there is news; the lock is held.
-func (f *Follower) wake() {
+// notifyChanged wakes the receivers of Changed. The caller holds the lock.
+func (f *Follower) notifyChanged() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *Follower) takeLoads(_ context.Context, _ *rpc.Peer, totals wire.LoadReport) (wire.Empty, error) {
+func (f *Follower) handleLoads(_ context.Context, _ *rpc.Peer, totals wire.LoadReport) (wire.Empty, error) {
 	if f.sink.Loads != nil {
 		f.sink.Loads(totals)
 	}
 	return wire.Empty{}, nil
 }
 
-func (f *Follower) takeBacklogs(_ context.Context, _ *rpc.Peer, totals wire.Backlogs) (wire.Empty, error) {
+func (f *Follower) handleBacklogs(_ context.Context, _ *rpc.Peer, totals wire.Backlogs) (wire.Empty, error) {
 	if f.sink.Backlogs != nil {
 		f.sink.Backlogs(totals)
 	}
 	return wire.Empty{}, nil
 }
 
-func (f *Follower) takeLimits(_ context.Context, _ *rpc.Peer, limits wire.Limits) (wire.Empty, error) {
+func (f *Follower) handleLimits(_ context.Context, _ *rpc.Peer, limits wire.Limits) (wire.Empty, error) {
 	if f.sink.Limits != nil {
 		f.sink.Limits(limits)
 	}
 	return wire.Empty{}, nil
 }
 
-// lose takes in that a source's stream has ended.
-func (f *Follower) lose(s *source) {
+// handleStreamEnd processes the end of a source's stream.
+func (f *Follower) handleStreamEnd(s *source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !s.live {
 		return
 	}
 	f.ring.Add(event.Event{Kind: event.ControlLost, Host: s.address, Zone: s.zone})
-	f.drop(s)
-	f.reconsider(f.now())
+	f.markLost(s)
+	f.updateFollowed(f.now())
 	f.check.Raise()
 }
 
-// drop takes away what a source vouches for; the lock is held.
-func (f *Follower) drop(s *source) {
+// markLost marks a source as not connected and removes its reports from the directory. The caller
+// holds the lock.
+func (f *Follower) markLost(s *source) {
 	s.live = false
 	s.lostAt = f.now()
-	f.directory.Lose(f.now(), s.address)
-	f.tell()
-	f.wake()
+	f.directory.RemoveSource(f.now(), s.address)
+	f.publishChanges()
+	f.notifyChanged()
 }
 
-func (f *Follower) take(s *source, update wire.FeedUpdate) {
+// handleUpdate merges an update from a source's stream.
+func (f *Follower) handleUpdate(s *source, update wire.FeedUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s.stop == nil {
 		return
 	}
 	now := f.now()
-	f.add(update.Members)
-	settled := s.live && s.detached == update.Detached && s.uncertain == update.Uncertain && update.Members == nil
-	changed := !settled || s.version != update.Version || s.leading != update.Leading || s.gateways != update.Gateways
+	f.addSources(update.Members)
+	stateUnchanged := s.live && s.detached == update.Detached && s.uncertain == update.Uncertain && update.Members == nil
+	changed := !stateUnchanged || s.version != update.Version || s.leading != update.Leading || s.gateways != update.Gateways
 	if !s.live {
 		s.live = true
 		f.ring.Add(event.Event{Kind: event.ControlFound, Host: s.address, Zone: update.Zone})
@@ -267,12 +269,12 @@
 		s.confirmedAt = now.Add(-time.Duration(update.ConfirmedMS) * time.Millisecond)
 	}
 	s.gateways = update.Gateways
-	f.takeDrains(update.Drains)
+	f.applyDrains(update.Drains)
 	if len(update.Standings) > 0 {
-		f.directory.Take(now, s.address, update.Standings)
-		f.tell()
+		f.directory.Apply(now, s.address, update.Standings)
+		f.publishChanges()
 	}
-	f.takeHoldings(s, update.Holdings)
+	f.applyHoldings(s, update.Holdings)
 	if update.Quarantine != nil && f.sink.Quarantine != nil {
 		f.sink.Quarantine(update.Quarantine.Entries)
 	}
@@ -280,30 +282,32 @@
 		f.sink.Gateways(f.gateways(now))
 	}
 	if changed {
-		f.wake()
+		f.notifyChanged()
 	}
-	if !settled {
-		f.reconsider(now)
+	if !stateUnchanged {
+		f.updateFollowed(now)
 		f.check.Raise()
 	}
-	f.fetch()
+	f.fetchIfNewer()
 }
 
-// takeDrains takes in drained zones that a source told of, unless they are older than what is
-// known: a source may lag behind the one before it. What any node has applied is committed, so
-// that it may be acted on. The lock is held.
-func (f *Follower) takeDrains(told *wire.ZoneDrains) {
-	if told == nil || told.Revision == 0 || f.drains != nil && told.Revision <= f.drains.Revision {
+// applyDrains applies drained zones reported by a source unless they are older than the known ones:
+// a source may be behind the previous one. State that any node has applied is committed, so it is
+// safe to use. The caller holds the lock.
+func (f *Follower) applyDrains(reported *wire.ZoneDrains) {
+	if reported == nil || reported.Revision == 0 || f.drains != nil && reported.Revision <= f.drains.Revision {
 		return
 	}
-	f.drains = told
-	f.wake()
+	f.drains = reported
+	f.notifyChanged()
 	if f.sink.Drains != nil {
-		f.sink.Drains(told)
+		f.sink.Drains(reported)
 	}
 }
 
-func (f *Follower) takeHoldings(s *source, h *wire.Holdings) {
+// applyHoldings applies holdings reported by a source, which may be a delta to its previous ones,
+// and passes them to the sink if they are newer than the known ones. The caller holds the lock.
+func (f *Follower) applyHoldings(s *source, h *wire.Holdings) {
 	if h == nil {
 		return
 	}
@@ -322,7 +326,7 @@
 		return
 	}
 	f.holdings = h
-	f.wake()
+	f.notifyChanged()
 	if f.sink.Holdings != nil {
 		f.sink.Holdings(h)
 	}
--- /dev/null
+++ b/src/feed/heartbeat.go
@@ -0,0 +1,122 @@
+package feed
+
+import (
+	"context"
+	"time"
+
+	"github.com/moorspool/moorspool/src/registry"
+	"github.com/moorspool/moorspool/src/rpc"
+	"github.com/moorspool/moorspool/src/wire"
+)
+
+// Hear processes a replica's heartbeat and reports whether it may be acknowledged. The departure of
+// a replica is acknowledged only once a majority of control nodes has saved it, so that gateways
+// learn of it even if this node fails.
+func (p *Publisher) Hear(ctx context.Context, record registry.Record) bool {
+	p.mu.Lock()
+	if rejectionReason := p.rejectionReason(&record); rejectionReason != "" {
+		p.mu.Unlock()
+		p.cluster.Misread(record.ReplicaName(), rejectionReason)
+		return false
+	}
+	if p.table.Hear(p.now(), record) {
+		p.notifyChanged()
+	}
+	known := p.departures[record.ID]
+	p.mu.Unlock()
+	if !record.Leaving() || known.gone || known.draining && !record.Gone {
+		return true
+	}
+	if !p.replicateDeparture(ctx, record) {
+		return false
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.departures[record.ID] = departure{draining: true, gone: record.Gone, at: p.now()}
+	return true
+}
+
+// rejectionReason returns why a heartbeat can't come from the replica that it names, or "". A start
+// of a replica keeps its service and address, and a new one must name a configured service. Before
+// the first configuration is known, new replicas are rejected, since they can't be told from
+// unrelated senders; replicas repeat their heartbeats, and those known before a restart are
+// restored by Recall. The caller holds the lock.
+func (p *Publisher) rejectionReason(record *registry.Record) string {
+	known, found := p.table.Record(record.ID)
+	switch {
+	case !found && !record.Leaving() && !p.cluster.Serves(record.Service):
+		return "service " + record.Service + " is not in the configuration"
+	case found && !record.Gone && known.Service != "" && record.Service != known.Service:
+		return "it has another service than before"
+	case found && !record.Gone && known.Address != "" && record.Address != known.Address:
+		return "it has another address than before"
+	}
+	return ""
+}
+
+// Remove records that a replica has ended or is about to. It does so also for a replica that this
+// node does not know, since other nodes may have seen it start.
+func (p *Publisher) Remove(ctx context.Context, name string) bool {
+	p.mu.Lock()
+	record, found := p.table.EndingStart(name)
+	p.mu.Unlock()
+	if !found {
+		record = registry.Record{ID: name}
+	}
+	record.Gone = true
+	return p.Hear(ctx, record)
+}
+
+// replicateDeparture sends the record of a leaving replica to the other nodes and waits until a
+// majority, this node included, has saved it: after a restart none of them may treat the replica as
+// running. A node that knows no members can't determine a majority and fails.
+func (p *Publisher) replicateDeparture(ctx context.Context, record registry.Record) bool {
+	others, known := p.cluster.Majority()
+	if !known {
+		return false
+	}
+	peers := p.cluster.Peers()
+	needed := others + 1
+	answers := make(chan error, len(peers)+1)
+	ctx, cancel := context.WithTimeout(ctx, departureTimeout)
+	go func() { answers <- p.save() }()
+	for _, address := range peers {
+		go func() { answers <- p.cluster.Note(ctx, address, record) }()
+	}
+	stored := 0
+	for range len(peers) + 1 {
+		if err := p.awaitAnswer(ctx, answers); err == nil {
+			stored++
+		}
+		if stored >= needed {
+			break
+		}
+	}
+	if stored >= needed {
+		// The slower nodes get the record too.
+		time.AfterFunc(departureTimeout, cancel)
+		return true
+	}
+	cancel()
+	return false
+}
+
+// awaitAnswer waits for the next answer or the end of the context.
+func (p *Publisher) awaitAnswer(ctx context.Context, answers <-chan error) error {
+	select {
+	case err := <-answers:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// handleNote saves a leaving replica's record that another node forwarded.
+func (p *Publisher) handleNote(_ context.Context, _ *rpc.Peer, request wire.NoteRequest) (wire.Empty, error) {
+	p.mu.Lock()
+	if p.table.ApplyForwarded(p.now(), request.Record) {
+		p.notifyChanged()
+	}
+	p.mu.Unlock()
+	return wire.Empty{}, p.save()
+}
--- a/src/feed/leave_test.go
+++ b/src/feed/heartbeat_test.go
@@ -11,9 +11,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestACallThatCantBeTheReplicasIsRefused: a new start needs a service that is named, one that is
-// known keeps its service and address, also before there is a configuration after a restart.
-func TestACallThatCantBeTheReplicasIsRefused(t *testing.T) {
+// TestContradictoryHeartbeatIsRejected checks that a new replica names a configured service, and
+// that a known one keeps its service and address.
+func TestContradictoryHeartbeatIsRejected(t *testing.T) {
 	is := is.New(t)
 	named := map[string]bool{}
 	var refused []string
@@ -34,7 +34,7 @@
 	recalled.Sequence++
 	is.True(p.Hear(ctx, recalled))
 	newcomer := registry.Record{ID: "i-2", Service: "s", Address: "a:2", Sequence: 1}
-	is.True(!p.Hear(ctx, newcomer)) // nobody can say yet whether there is such a service
+	is.True(!p.Hear(ctx, newcomer)) // it is not known yet whether the service exists
 	named["s"] = true
 	is.True(p.Hear(ctx, newcomer))
 	for _, change := range []func(r *registry.Record){
--- a/src/feed/holdings_test.go
+++ b/src/feed/holdings_test.go
@@ -32,16 +32,16 @@
 	eventually(t, "term 4 is known", func() bool { return term() == 4 })
 	n.nodes[0].publisher.SetHoldings(&wire.Holdings{Term: 3, Version: 10})
 	n.nodes[1].publisher.SetHoldings(&wire.Holdings{Term: 4, Version: 2})
-	eventually(t, "the later holder's word counts", func() bool {
+	eventually(t, "the later term's holdings win", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.holdings.Version == 2
 	})
 }
 
-// TestHoldingsTravelAsDifferences: with hundreds of gateways the whole would be
-// sent hundreds of times for each adapter that moves.
-func TestHoldingsTravelAsDifferences(t *testing.T) {
+// TestHoldingsAreSentAsDeltas guards against sending the complete holdings to hundreds of gateways
+// for each adapter that moves.
+func TestHoldingsAreSentAsDeltas(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	p := n.nodes[0].publisher
@@ -66,10 +66,11 @@
 	is.Equal(len(update.Holdings.Gone), 1)
 	p.SetHoldings(&wire.Holdings{Term: 2, Version: 1, Copies: whole(1, 20).Copies})
 	update, _ = stream.next()
-	is.Equal(len(update.Holdings.Copies), 20) // a new holder's are whole
+	is.Equal(len(update.Holdings.Copies), 20) // those of a new term are sent completely
 }
 
-// TestAFollowerKeepsUpWithHoldings through changes and a lost stream.
+// TestAFollowerKeepsUpWithHoldings checks that deltas add up to the complete holdings, also after a
+// lost stream.
 func TestAFollowerKeepsUpWithHoldings(t *testing.T) {
 	n := newTestNet(t, 1)
 	p := n.nodes[0].publisher
--- a/src/feed/known.go
+++ b/src/feed/known.go
@@ -7,27 +7,27 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Known is what a follower knows, but for the replicas themselves.
+// Known is a follower's merged view of the control nodes, without the replicas themselves.
 type Known struct {
 	// Stamp is that of the newest change of a replica.
 	Stamp    uint64
 	Holdings *wire.Holdings
-	// Drains are the newest that any control node told of, nil if none did.
+	// Drains is the newest state of drained zones that any control node reported, nil if none did.
 	Drains *wire.ZoneDrains
-	// Version is the newest configuration that any control node in reach has applied.
+	// Version is the newest configuration that any connected control node has applied.
 	Version uint64
-	// Confirmed is when the newest of these was last known to be the newest accepted, as its
-	// source says; the zero time if none says it.
+	// Confirmed is when Version was last known to be the newest accepted configuration, as reported
+	// by the sources that have it; the zero time if none reports it.
 	Confirmed time.Time
-	// Reach is the number of control nodes in reach.
+	// Reach is the number of connected control nodes.
 	Reach int
 	// Gateways is the number of gateways that follow any control node.
 	Gateways int
-	// Zones are the control nodes' availability zones, as far as they are known.
+	// Zones are the known availability zones of control nodes, by address.
 	Zones map[string]string
 }
 
-// members returns control nodes with what is known of their availability zones.
+// members returns the control nodes at the addresses, with their availability zones where known.
 func (k *Known) members(addresses []string) []wire.Member {
 	members := make([]wire.Member, 0, len(addresses))
 	for _, address := range addresses {
@@ -36,14 +36,14 @@
 	return members
 }
 
-// Known returns what the follower knows now.
+// Known returns the current merged view.
 func (f *Follower) Known() Known {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := Known{Stamp: f.directory.Stamp(), Holdings: f.holdings, Drains: f.drains, Reach: f.live(), Gateways: f.gateways(f.now()), Zones: map[string]string{}}
 	for _, s := range f.sources {
 		if s.live {
-			known.take(s)
+			known.mergeVersion(s)
 		}
 		if s.zone != "" {
 			known.Zones[s.address] = s.zone
@@ -52,8 +52,8 @@
 	return known
 }
 
-// take takes in the version of a source in reach and how certain it is.
-func (k *Known) take(s *source) {
+// mergeVersion merges the version of a connected source and the time of its confirmation.
+func (k *Known) mergeVersion(s *source) {
 	switch {
 	case s.version > k.Version:
 		k.Version, k.Confirmed = s.version, s.confirmedAt
@@ -69,14 +69,14 @@
 	return f.gateways(f.now())
 }
 
-// Standings returns the replicas that have changed since a stamp.
+// Standings returns the replicas that changed after a stamp.
 func (f *Follower) Standings(since uint64) []registry.Standing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.directory.Since(since)
 }
 
-// Changed returns a channel that is closed when something is known that was not before.
+// Changed returns a channel that is closed at the next change of the merged view.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/feed/net_test.go
+++ b/src/feed/net_test.go
@@ -17,26 +17,26 @@
 
 var times = registry.Times{Silence: time.Minute, Forget: time.Hour}
 
-// testNode is a publisher behind a real listener.
+// testNode is a control node with a real listener.
 type testNode struct {
 	publisher *Publisher
 	relay     *Relay
 	follower  *Follower
-	// cut keeps the node from reaching others.
-	cut    *fault.Cut
-	server *rpc.Server
-	net    *testNet
-	leads  atomic.Bool
-	// slow is how long the node takes to give a configuration.
+	// cut blocks connections to other nodes.
+	cut     *fault.Cut
+	server  *rpc.Server
+	net     *testNet
+	leading atomic.Bool
+	// slow is how long the node takes to return its configuration.
 	slow  atomic.Int64
 	usage atomic.Int64
-	// outside lets the node know no members.
+	// outside makes the node know no members.
 	outside atomic.Bool
-	// unconfirmed lets the node not know whether its configuration is the newest.
+	// unconfirmed makes the node unable to confirm that its configuration is the newest.
 	unconfirmed atomic.Bool
 	// drains are the drained zones that the node has applied.
 	drains atomic.Pointer[wire.ZoneDrains]
-	// failing lets the node's disk refuse writes.
+	// failing makes the node's disk reject writes.
 	failing atomic.Bool
 
 	mu       sync.Mutex
@@ -45,14 +45,14 @@
 	changed  chan struct{}
 }
 
-// testNet is a few nodes that know each other.
+// testNet is a set of nodes that know each other.
 type testNet struct {
 	t       *testing.T
 	nodes   []*testNode
 	clients map[string]*rpc.Client
 }
 
-// errDisk is what a failing disk says.
+// errDisk is the error of a failing disk.
 var errDisk = errors.New("the disk is full")
 
 func (n *testNode) save(records []registry.Record) error {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// confirmedAt returns now, unless nobody confirms the node's configuration.
+// confirmedAt returns now unless the node is unconfirmed.
 func (n *testNode) confirmedAt(now time.Time) time.Time {
 	if n.unconfirmed.Load() {
 		return time.Time{}
@@ -73,12 +73,12 @@
 	return now
 }
 
-// newTestNet returns nodes that are all in availability zone z.
+// newTestNet returns a number of nodes in availability zone z.
 func newTestNet(t *testing.T, count int) *testNet {
 	return newZonedNet(t, slices.Repeat([]string{"z"}, count)...)
 }
 
-// newZonedNet returns a node in each of the availability zones.
+// newZonedNet returns one node per availability zone given.
 func newZonedNet(t *testing.T, zones ...string) *testNet {
 	n := &testNet{t: t, clients: map[string]*rpc.Client{}}
 	count := len(zones)
@@ -89,12 +89,12 @@
 			Drains:     node.drains.Load,
 			Serves:     func(string) bool { return true },
 			Misread:    func(string, string) {},
-			Version:    func() uint64 { return node.held().Version },
+			Version:    func() uint64 { return node.currentDocument().Version },
 			Document: func() wire.Document {
 				time.Sleep(time.Duration(node.slow.Load()))
-				return node.held()
+				return node.currentDocument()
 			},
-			Changed: node.wait,
+			Changed: node.configChanged,
 
 			Confirmed: node.confirmedAt,
 
@@ -102,7 +102,7 @@
 			Peers:   func() []string { return n.others(node) },
 
 			Majority: func() (int, bool) { return count / 2, !node.outside.Load() },
-			Leading:  func() bool { return node.leads.Load() },
+			Leading:  func() bool { return node.leading.Load() },
 			Save:     node.save,
 			Note: func(ctx context.Context, address string, record registry.Record) error {
 				return n.clients[address].Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
@@ -146,7 +146,7 @@
 	return list
 }
 
-// members returns the nodes that the node knows as members.
+// members returns the addresses of the members that the node knows.
 func (n *testNode) members() []string {
 	if n.outside.Load() {
 		return nil
@@ -164,19 +164,19 @@
 	return list
 }
 
-func (n *testNode) held() wire.Document {
+func (n *testNode) currentDocument() wire.Document {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.document
 }
 
-func (n *testNode) wait() <-chan struct{} {
+func (n *testNode) configChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// drain lets the node apply an order about zones.
+// drain makes the node apply a state of drained zones.
 func (n *testNode) drain(revision uint64, zones ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -185,7 +185,7 @@
 	n.changed = make(chan struct{})
 }
 
-func (n *testNode) put(version uint64, raw string) {
+func (n *testNode) setDocument(version uint64, raw string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.document = wire.Document{Known: true, Version: version, Packed: []byte(raw)}
@@ -193,22 +193,22 @@
 	n.changed = make(chan struct{})
 }
 
-// seen is what a follower was told.
-type seen struct {
+// recordingSink records what a follower passes to its sink.
+type recordingSink struct {
 	mu       sync.Mutex
 	versions []uint64
 	entries  map[string]registry.Entry
 	gateways int
 	holdings *wire.Holdings
 	drains   *wire.ZoneDrains
-	// refuse is how many configurations can't be taken in.
+	// refuse is how many configurations are still to be rejected.
 	refuse int
 }
 
-// errUnreadable is what a configuration that can't be read ends with.
+// errUnreadable is the error of a rejected configuration.
 var errUnreadable = errors.New("the configuration can't be read")
 
-func (s *seen) take(changes registry.Changes) {
+func (s *recordingSink) take(changes registry.Changes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries == nil {
@@ -222,18 +222,18 @@
 	}
 }
 
-func (s *seen) sink() Sink {
+func (s *recordingSink) sink() Sink {
 	return Sink{
 		Document: s.takeDocument,
 		Replicas: s.take,
-		Holdings: func(h *wire.Holdings) { s.with(func() { s.holdings = h }) },
-		Drains:   func(d *wire.ZoneDrains) { s.with(func() { s.drains = d }) },
-		Gateways: func(n int) { s.with(func() { s.gateways = n }) },
+		Holdings: func(h *wire.Holdings) { s.locked(func() { s.holdings = h }) },
+		Drains:   func(d *wire.ZoneDrains) { s.locked(func() { s.drains = d }) },
+		Gateways: func(n int) { s.locked(func() { s.gateways = n }) },
 	}
 }
 
-// takeDocument refuses as many configurations as it is told to.
-func (s *seen) takeDocument(_ string, d wire.Document) error {
+// takeDocument rejects as many configurations as refuse says and records the others.
+func (s *recordingSink) takeDocument(_ string, d wire.Document) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuse > 0 {
@@ -244,21 +244,21 @@
 	return nil
 }
 
-func (s *seen) with(f func()) {
+func (s *recordingSink) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-func (s *seen) usable(id string) (known, usable bool) {
+func (s *recordingSink) usable(id string) (known, usable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, known := s.entries[id]
 	return known, known && e.Usable()
 }
 
-func (n *testNet) follow(seeds ...string) *seen {
-	s := &seen{}
+func (n *testNet) follow(seeds ...string) *recordingSink {
+	s := &recordingSink{}
 	f := NewFollower(Options{Node: "g", Zone: "z", Gateway: true, Seeds: seeds}, s.sink(), &rpc.Meter{}, nil, nil, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.t.Cleanup(cancel)
@@ -274,5 +274,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("it never came about that %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
--- a/src/feed/notify.go
+++ b/src/feed/notify.go
@@ -7,8 +7,8 @@
 	"github.com/moorspool/moorspool/src/rpc"
 )
 
-// NotifyLeader sends a notification to the control node that leads; to every one
-// in reach if none says that it does.
+// NotifyLeader sends a notification to the leading control node, or to every connected one if none
+// reports to be the leader.
 func (f *Follower) NotifyLeader(ctx context.Context, method string, params any) {
 	leaders, _ := f.leaders()
 	for _, client := range leaders {
@@ -16,7 +16,7 @@
 	}
 }
 
-// NotifyOthers sends a notification to the control nodes that NotifyLeader leaves out.
+// NotifyOthers sends a notification to the connected control nodes that NotifyLeader leaves out.
 func (f *Follower) NotifyOthers(ctx context.Context, method string, params any) {
 	_, others := f.leaders()
 	for _, client := range others {
@@ -24,32 +24,32 @@
 	}
 }
 
-// NotifyNearest sends a notification to the best sound control node, or to any that is
-// in reach; the same one as long as it is sound.
+// NotifyNearest sends a notification to the most preferred healthy control node, or to any
+// connected one if none is healthy. The choice does not change while that node stays healthy.
 func (f *Follower) NotifyNearest(ctx context.Context, method string, params any) {
-	if client := f.nearestClient(); client != nil {
+	if client := f.bestClient(); client != nil {
 		_ = client.Notify(ctx, method, params)
 	}
 }
 
-// The bounds of one ask.
+// The limits of one call of Ask.
 const (
-	// askNext is after how long without an answer another control node is asked as well:
-	// longer than an answer takes that has to be fetched from the leader, and shorter than
-	// the first repeat of a packet that was lost.
-	askNext = 80 * time.Millisecond
-	// askAtMost is how many control nodes are asked before an ask is given up.
-	askAtMost = 3
+	// hedgeDelay is how long Ask waits for an answer before it also calls another control node:
+	// longer than an answer that has to be fetched from the leader, and shorter than the first
+	// retransmission of a lost packet.
+	hedgeDelay = 80 * time.Millisecond
+	// maxAsked is how many control nodes Ask calls at most.
+	maxAsked = 3
 )
 
-// Ask calls the best sound control node, and others beside it while there is no answer; it
-// returns the first one's and drops the rest.
+// Ask calls the most preferred healthy control node, and further ones while there is no answer. It
+// returns the first successful reply and ignores the rest.
 func Ask[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
 	type answer struct {
 		reply R
 		err   error
 	}
-	clients := f.toAsk()
+	clients := f.askOrder()
 	answers := make(chan answer, len(clients))
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -67,7 +67,7 @@
 				one.err = client.Call(ctx, method, params, &one.reply)
 				answers <- one
 			}()
-			next.Reset(askNext)
+			next.Reset(hedgeDelay)
 		case last = <-answers:
 			answered++
 			if last.err == nil {
@@ -81,10 +81,11 @@
 	return last.reply, last.err
 }
 
-// AskOne calls the best sound control node alone.
+// AskOne calls only the most preferred healthy control node, or any connected one if none is
+// healthy.
 func AskOne[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
 	var reply R
-	client := f.nearestClient()
+	client := f.bestClient()
 	if client == nil {
 		return reply, rpc.ErrUnreachable
 	}
@@ -92,18 +93,19 @@
 	return reply, err
 }
 
-// toAsk returns the control nodes to ask, best first: those in reach before others.
-func (f *Follower) toAsk() []*rpc.Client {
+// askOrder returns the control nodes for Ask to call, the most preferred ones first and connected
+// ones before others.
+func (f *Follower) askOrder() []*rpc.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var clients []*rpc.Client
-	if f.first != nil && f.first.live {
-		clients = append(clients, f.first.client)
+	if f.best != nil && f.best.live {
+		clients = append(clients, f.best.client)
 	}
 	ranked := f.ranked()
 	for _, live := range []bool{true, false} {
 		for _, s := range ranked {
-			if s.live == live && s != f.first && len(clients) < askAtMost {
+			if s.live == live && s != f.best && len(clients) < maxAsked {
 				clients = append(clients, s.client)
 			}
 		}
@@ -111,11 +113,13 @@
 	return clients
 }
 
-func (f *Follower) nearestClient() *rpc.Client {
+// bestClient returns the client of the most preferred healthy control node, else of any connected
+// one, else nil.
+func (f *Follower) bestClient() *rpc.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.first != nil && f.first.live {
-		return f.first.client
+	if f.best != nil && f.best.live {
+		return f.best.client
 	}
 	for _, s := range f.ranked() {
 		if s.live {
@@ -125,8 +129,8 @@
 	return nil
 }
 
-// leaders returns the nodes in reach that say that they lead, or all if none
-// does, and the others.
+// leaders returns the connected nodes that report to be the leader, or all connected ones if none
+// does, and the remaining ones.
 func (f *Follower) leaders() (leaders, others []*rpc.Client) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/feed/publisher.go
+++ b/src/feed/publisher.go
@@ -10,54 +10,55 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The publisher's times.
+// The timing of a publisher.
 const (
-	// signEvery is how often a subscriber hears from a node that has no news.
-	signEvery = 400 * time.Millisecond
-	// sweepEvery is how often silent replicas are looked for.
-	sweepEvery = 250 * time.Millisecond
-	// saveEvery is how often changed replicas are saved: models move every few seconds.
-	saveEvery = 2 * time.Second
-	// noteTimeout bounds the wait for the other nodes to learn that a replica leaves.
-	noteTimeout = 500 * time.Millisecond
+	// keepaliveInterval is how often a subscriber gets an update when nothing has changed.
+	keepaliveInterval = 400 * time.Millisecond
+	// sweepInterval is how often silent replicas are looked for.
+	sweepInterval = 250 * time.Millisecond
+	// saveInterval is how often changed replicas are saved; loaded models change every few seconds.
+	saveInterval = 2 * time.Second
+	// departureTimeout bounds the wait for other nodes to save that a replica is leaving.
+	departureTimeout = 500 * time.Millisecond
 )
 
-// Cluster is what a publisher needs of its control node.
+// Cluster holds the functions of the control node that a publisher and a relay use.
 type Cluster struct {
-	// Version returns the applied configuration's version, Document the whole of it.
+	// Version returns the version of the applied configuration, Document the configuration itself.
 	Version  func() uint64
 	Document func() wire.Document
-	// Confirmed returns when the applied configuration was last known to be the newest, the
-	// zero time if it never was.
+	// Confirmed returns when the applied configuration was last known to be the newest, the zero
+	// time if it never was.
 	Confirmed func(now time.Time) time.Time
-	// Changed is closed when the applied configuration changes.
+	// Changed returns a channel that is closed when the applied configuration changes.
 	Changed func() <-chan struct{}
-	// Members are the control nodes' addresses; Peers those of the others.
+	// Members returns the addresses of all control nodes, Peers those of the others.
 	Members func() []string
 	Peers   func() []string
-	// Leading reports whether this node leads.
+	// Leading reports whether this node is the leader.
 	Leading func() bool
-	// Majority returns how many others make a majority with this node, if that is known.
+	// Majority returns how many other nodes form a majority together with this one, if that is
+	// known.
 	Majority func() (others int, known bool)
-	// Note tells another node of a replica that leaves.
+	// Note sends the record of a leaving replica to another node.
 	Note func(ctx context.Context, address string, record registry.Record) error
-	// Quarantine returns what is known of contents under which replicas ended, nil if nothing
-	// ever was; the pointer changes with what it points to.
+	// Quarantine returns the request contents that replicas were running when they ended, nil if
+	// there never were any. Each change yields a new pointer.
 	Quarantine func() *wire.Quarantine
-	// Drains returns the drained zones that this node has applied; the pointer changes with what
-	// it points to.
+	// Drains returns the drained zones that this node has applied. Each change yields a new
+	// pointer.
 	Drains func() *wire.ZoneDrains
-	// Serves reports whether the configuration names a service.
+	// Serves reports whether the configuration contains a service.
 	Serves func(service string) bool
-	// Misread learns of a replica's call that is refused, with the reason.
+	// Misread is called with the name and the reason for each heartbeat that is rejected.
 	Misread func(name, reason string)
-	// Save keeps the replicas for the time after a restart; it returns once they
-	// would survive a loss of power.
+	// Save stores the replicas for the next restart. It returns once they would survive a power
+	// loss.
 	Save func([]registry.Record) error
 }
 
-// Publisher holds what replicas told this node and streams it to the control nodes;
-// it is safe for concurrent use.
+// Publisher holds what replicas reported to this node and streams it to the control nodes. It is
+// safe for concurrent use.
 type Publisher struct {
 	node    string
 	zone    string
@@ -70,17 +71,17 @@
 	changed  chan struct{}
 	// relay serves the gateways.
 	relay *Relay
-	// saving is held while the replicas are saved, from before they are read: a save
-	// must not put older ones in the place of newer ones.
-	saving sync.Mutex
-	// saved is the table's stamp when the replicas were saved last.
-	saved uint64
-	// spreadTo holds the leaving replicas that a majority knows of.
-	spreadTo map[string]leaving
+	// saveMu is held from before the replicas to save are read until they are saved, so that a save
+	// can't overwrite newer replicas with older ones.
+	saveMu sync.Mutex
+	// savedStamp is the table's stamp as of the last save.
+	savedStamp uint64
+	// departures holds the leaving replicas that a majority has saved, by ID.
+	departures map[string]departure
 }
 
-// leaving is how far a replica's leaving is known to a majority.
-type leaving struct {
+// departure is what a majority has saved of a replica's departure.
+type departure struct {
 	draining bool
 	gone     bool
 	at       time.Time
@@ -89,39 +90,38 @@
 // NewPublisher returns a publisher for a node in an availability zone.
 func NewPublisher(node, zone string, times registry.Times, cluster Cluster, now func() time.Time) *Publisher {
 	return &Publisher{
-		node:     node,
-		zone:     zone,
-		cluster:  cluster,
-		now:      now,
-		table:    registry.NewTable(times),
-		changed:  make(chan struct{}),
-		spreadTo: map[string]leaving{},
+		node:       node,
+		zone:       zone,
+		cluster:    cluster,
+		now:        now,
+		table:      registry.NewTable(times),
+		changed:    make(chan struct{}),
+		departures: map[string]departure{},
 	}
 }
 
-// SetRelay sets what serves the gateways; it is called before the node serves.
+// SetRelay sets the relay that serves gateways. It must be called before the node accepts calls.
 func (p *Publisher) SetRelay(relay *Relay) { p.relay = relay }
 
-// Register adds the publisher's methods to a mux.
+// Register adds the publisher's RPC methods to a mux.
 func (p *Publisher) Register(mux *rpc.Mux) {
-	mux.Handle(wire.MethodWatchFeed, rpc.Typed(p.watch))
-	mux.Handle(wire.MethodFetchDocument, rpc.Typed(p.document))
-	mux.Handle(wire.MethodNote, rpc.Typed(p.note))
+	mux.Handle(wire.MethodWatchFeed, rpc.Typed(p.handleWatch))
+	mux.Handle(wire.MethodFetchDocument, rpc.Typed(p.handleFetchDocument))
+	mux.Handle(wire.MethodNote, rpc.Typed(p.handleNote))
 }
 
-// Recall takes in the replicas that this node knew before it was restarted.
+// Recall restores the replicas that this node knew before it was restarted.
 func (p *Publisher) Recall(records []registry.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.Recall(p.now(), records)
-	p.saved = p.table.Stamp()
+	p.savedStamp = p.table.Stamp()
 }
 
-// Run looks for silent replicas, and saves those that there are now and then,
-// until the context ends.
+// Run looks for silent replicas and saves changed ones periodically until the context ends.
 func (p *Publisher) Run(ctx context.Context) {
 	go p.saveChanges(ctx)
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -131,17 +131,17 @@
 		}
 		p.mu.Lock()
 		if p.table.Sweep(p.now()) {
-			p.wake()
+			p.notifyChanged()
 		}
-		p.forgetLeft()
+		p.pruneDepartures()
 		p.mu.Unlock()
 	}
 }
 
-// saveChanges saves the replicas now and then, apart from Run's other work, since a
-// disk may hang.
+// saveChanges saves changed replicas periodically. It has its own goroutine because a disk may
+// hang.
 func (p *Publisher) saveChanges(ctx context.Context) {
-	ticker := time.NewTicker(saveEvery)
+	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -150,19 +150,19 @@
 		case <-ticker.C:
 		}
 		p.mu.Lock()
-		changed := p.table.Stamp() != p.saved
+		changed := p.table.Stamp() != p.savedStamp
 		p.mu.Unlock()
 		if changed {
-			// A failure is in the log; the next round tries again.
+			// Save logs a failure; the next round retries.
 			_ = p.save()
 		}
 	}
 }
 
-// save saves the replicas as they are known now.
+// save saves the current replicas.
 func (p *Publisher) save() error {
-	p.saving.Lock()
-	defer p.saving.Unlock()
+	p.saveMu.Lock()
+	defer p.saveMu.Unlock()
 	p.mu.Lock()
 	records, stamp := p.table.Records(), p.table.Stamp()
 	p.mu.Unlock()
@@ -171,40 +171,41 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.saved = max(p.saved, stamp)
+	p.savedStamp = max(p.savedStamp, stamp)
 	return nil
 }
 
-// forgetLeft drops replicas that left long ago; the lock is held.
-func (p *Publisher) forgetLeft() {
-	for id, left := range p.spreadTo {
-		if p.now().Sub(left.at) > forgetAfter {
-			delete(p.spreadTo, id)
+// pruneDepartures removes replicas that left more than forgetAfter ago. The caller holds the lock.
+func (p *Publisher) pruneDepartures() {
+	for id, departed := range p.departures {
+		if p.now().Sub(departed.at) > forgetAfter {
+			delete(p.departures, id)
 		}
 	}
 }
 
-// wake tells the streams that there is news; the lock is held.
-func (p *Publisher) wake() {
+// notifyChanged wakes the streams. The caller holds the lock.
+func (p *Publisher) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// SetHoldings replaces what subscribers are told of copies beyond the replicas' own words.
+// SetHoldings replaces the holdings, the copies of models and adapters that subscribers learn of in
+// addition to the replicas' own reports.
 func (p *Publisher) SetHoldings(holdings *wire.Holdings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holdings = holdings
-	p.wake()
+	p.notifyChanged()
 }
 
-// Replicas returns the number of replicas that this node was told of.
+// Replicas returns the number of replicas that this node knows.
 func (p *Publisher) Replicas() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Len()
 }
 
-func (p *Publisher) document(context.Context, *rpc.Peer, wire.Empty) (wire.Document, error) {
+func (p *Publisher) handleFetchDocument(context.Context, *rpc.Peer, wire.Empty) (wire.Document, error) {
 	return p.relay.Document(), nil
 }
--- a/src/feed/recall_test.go
+++ b/src/feed/recall_test.go
@@ -10,8 +10,8 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// TestALeavingReplicaIsSavedByAMajorityBeforeItsCallIsAcknowledged: after all have
-// lost power none of a majority takes it for one that stays.
+// TestALeavingReplicaIsSavedByAMajorityBeforeItsCallIsAcknowledged guards against a replica
+// counting as running again after all nodes have lost power.
 func TestALeavingReplicaIsSavedByAMajorityBeforeItsCallIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
@@ -20,25 +20,25 @@
 	n.nodes[1].failing.Store(true)
 	n.nodes[2].failing.Store(true)
 	record.Sequence, record.Draining = 2, true
-	is.True(!n.nodes[0].publisher.Hear(context.Background(), record)) // one disk of three has it
+	is.True(!n.nodes[0].publisher.Hear(context.Background(), record)) // saved on one disk of three
 	n.nodes[2].failing.Store(false)
 	is.True(n.nodes[0].publisher.Hear(context.Background(), record))
-	keepers := 0
+	copies := 0
 	for _, node := range n.nodes {
 		node.mu.Lock()
 		for _, saved := range node.saved {
 			if saved.ID == "a" && saved.Draining {
-				keepers++
+				copies++
 			}
 		}
 		node.mu.Unlock()
 	}
-	is.True(keepers >= 2)
+	is.True(copies >= 2)
 }
 
-// TestASaveDoesNotPutOlderReplicasInThePlaceOfNewer: a disk that hangs for a moment
-// must not bring back a replica that has been acknowledged as leaving meanwhile.
-func TestASaveDoesNotPutOlderReplicasInThePlaceOfNewer(t *testing.T) {
+// TestSlowSaveDoesNotOverwriteNewerReplicas guards against a slow disk write restoring a replica
+// whose departure has been acknowledged in the meantime.
+func TestSlowSaveDoesNotOverwriteNewerReplicas(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	node := n.nodes[0]
--- a/src/feed/relay.go
+++ b/src/feed/relay.go
@@ -12,28 +12,26 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The relay's times.
+// The timing of a relay.
 const (
-	// lagTime is how long a node may know that others have applied a newer
-	// configuration before it counts as detached: a change is committed and applied
-	// within some tens of ms.
-	lagTime = time.Second
-	// uncertainAfter is for how long a node may not know that its configuration is the newest
-	// before it says so: longer than elections, the longest of 300 took 1.49 s on virtual
-	// time, and well below the seconds in which a configuration is to be in force.
+	// lagLimit is how long a node may lack a newer configuration that others have applied before it
+	// counts as detached. A change is normally committed and applied within some tens of ms.
+	lagLimit = time.Second
+	// uncertainAfter is how long a node may be unable to confirm that its configuration is the
+	// newest before it reports so. It is longer than elections, the longest of 300 taking 1.49 s in
+	// virtual time, and well below the seconds within which a configuration must be in force.
 	uncertainAfter = 2500 * time.Millisecond
-	// attachEvery is how often the relay looks whether its node is detached or uncertain.
-	attachEvery = 250 * time.Millisecond
-	// joinPerGateway bounds what telling news costs, whatever the number of gateways: with a
-	// wake-up and a write of some 50 microseconds for each, a tenth of a core at the most.
-	// With 15 ms for any number, 295 gateways would take a whole one.
-	joinPerGateway = 500 * time.Microsecond
+	// statusInterval is how often the relay checks whether its node is detached or uncertain.
+	statusInterval = 250 * time.Millisecond
+	// batchDelayPerGateway bounds the cost of sending updates regardless of the number of gateways:
+	// at some 50 microseconds for a wake-up and a write per gateway, a tenth of a core. With 15 ms
+	// for any number, 295 gateways would take a whole core.
+	batchDelayPerGateway = 500 * time.Microsecond
 )
 
-// Relay passes on to gateways what a control node's follower learns from all control
-// nodes, so that a gateway needs a single stream, from its own availability zone.
-// Gateways that were told the same are sent the same bytes. It is safe for concurrent
-// use.
+// Relay passes the merged view of a control node's follower on to gateways, so that a gateway needs
+// only one stream, from its own availability zone. Gateways in the same state are sent the same
+// encoded bytes. A Relay is safe for concurrent use.
 type Relay struct {
 	node     string
 	zone     string
@@ -42,85 +40,87 @@
 	now      func() time.Time
 	gateways atomic.Int64
 	slots    sendSlots
-	// woken is raised when the quarantine has changed.
-	woken wakeup.Flag
+	// quarantineChanged is raised when the quarantine has changed.
+	quarantineChanged wakeup.Flag
 
 	mu sync.Mutex
-	// subscribers are the gateways that follow this node, with whether each is being
-	// told something beside its stream.
+	// subscribers are the gateways that follow this node; the value is set while Tell is sending to
+	// the gateway.
 	subscribers map[*rpc.Peer]*atomic.Bool
 	state       relayState
 	changed     chan struct{}
-	began       time.Time
-	// borrowed is a configuration that another node has applied and this one lacked, and
-	// borrowing is set while one is fetched.
-	borrowed  wire.Document
-	borrowing bool
-	// lagsSince is since when others are known to have a newer configuration.
-	lagsSince time.Time
-	deltas    holdingsDelta
-	// encoded are the updates that lead to the present state, by the round they lead from.
+	startedAt   time.Time
+	// peerDocument is a configuration fetched from another node that this one had not applied yet,
+	// and fetchingFromPeer is set during such a fetch.
+	peerDocument     wire.Document
+	fetchingFromPeer bool
+	// laggingSince is since when others are known to have a newer configuration, or zero.
+	laggingSince time.Time
+	deltas       deltaCache
+	// encoded holds the encoded updates that lead to the current state, by the round that they
+	// start from.
 	encoded map[uint64]rpc.Notification
 }
 
-// relayState is what gateways are told as of one round; it does not change.
+// relayState is the state sent to gateways as of one round. It is immutable but for the fields that
+// refreshKeepalive sets.
 type relayState struct {
-	// round grows with each state; 0 stands for a gateway that was told nothing.
+	// round increases with each state; 0 stands for a gateway that was sent nothing yet.
 	round    uint64
 	stamp    uint64
 	holdings *wire.Holdings
 	members  []wire.Member
 	version  uint64
-	// quarantine is nil as long as no replica ended under a request.
+	// quarantine is nil until a replica first ends while it runs a request.
 	quarantine *wire.Quarantine
-	// drains are the drained zones that this node or another has applied, whichever is newer.
+	// drains are the drained zones that this node or another has applied, whichever are newer.
 	drains   *wire.ZoneDrains
 	gateways int
 	detached bool
-	// uncertain is set while the node has not known for long that its configuration is the
-	// newest, which it last knew at confirmedAt.
+	// uncertain is set while the node has been unable to confirm for uncertainAfter that its
+	// configuration is the newest; confirmedAt is the last time that it could.
 	uncertain   bool
 	confirmedAt time.Time
 }
 
-// same reports whether a gateway learns nothing from another state but the number of
-// gateways and the age of the configuration's confirmation.
-func (s *relayState) same(other *relayState) bool {
+// equivalent reports whether two states differ at most in the number of gateways and in when the
+// configuration was confirmed.
+func (s *relayState) equivalent(other *relayState) bool {
 	return s.stamp == other.stamp && s.holdings == other.holdings && s.version == other.version &&
 		s.quarantine == other.quarantine && s.drains == other.drains && s.detached == other.detached && s.uncertain == other.uncertain && slices.Equal(s.members, other.members)
 }
 
-// NewRelay returns a relay of what a follower knows, for a node in an availability zone.
+// NewRelay returns a relay of a follower's view, for a node in an availability zone.
 func NewRelay(node, zone string, follower *Follower, cluster Cluster, now func() time.Time) *Relay {
 	return &Relay{
-		node:     node,
-		zone:     zone,
-		follower: follower,
-		cluster:  cluster,
-		now:      now,
-		began:    now(),
-		slots:    newSendSlots(),
-		woken:    wakeup.New(),
-		state:    relayState{round: 1},
-		changed:  make(chan struct{}),
-		encoded:  map[uint64]rpc.Notification{},
+		node:              node,
+		zone:              zone,
+		follower:          follower,
+		cluster:           cluster,
+		now:               now,
+		startedAt:         now(),
+		slots:             newSendSlots(),
+		quarantineChanged: wakeup.New(),
+		state:             relayState{round: 1},
+		changed:           make(chan struct{}),
+		encoded:           map[uint64]rpc.Notification{},
 
 		subscribers: map[*rpc.Peer]*atomic.Bool{},
 	}
 }
 
-// Tell sends the same to every gateway that follows this node, but for those that have
-// not taken what they were told before.
+// Tell sends a notification to every gateway that follows this node, except those to which the
+// previous one is still being sent.
 func (r *Relay) Tell(n rpc.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for peer, telling := range r.subscribers {
-		if !telling.CompareAndSwap(false, true) {
+	for peer, sending := range r.subscribers {
+		if !sending.CompareAndSwap(false, true) {
 			continue
 		}
 		go func() {
-			defer telling.Store(false)
-			// A gateway that is not reached has lost its stream and asks for it anew.
+			defer sending.Store(false)
+			// A gateway that can't be reached has lost its stream and will reopen it.
 			_ = r.slots.send(peer, n)
 		}()
 	}
@@ -129,35 +129,35 @@
 // Gateways returns the number of gateways that follow this node.
 func (r *Relay) Gateways() int { return int(r.gateways.Load()) }
 
-// Wake says that the cluster's quarantine has changed.
-func (r *Relay) Wake() { r.woken.Raise() }
+// Wake signals that the cluster's quarantine has changed.
+func (r *Relay) Wake() { r.quarantineChanged.Raise() }
 
-// Run joins news into rounds until the context ends.
+// Run batches changes into rounds until the context ends.
 func (r *Relay) Run(ctx context.Context) {
-	ticker := time.NewTicker(attachEvery)
+	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
-		news, committed := r.follower.Changed(), r.cluster.Changed()
+		followerChanged, configChanged := r.follower.Changed(), r.cluster.Changed()
 		r.round(r.now())
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			continue
-		case <-news:
-		case <-committed:
-		case <-r.woken.Raised():
+		case <-followerChanged:
+		case <-configChanged:
+		case <-r.quarantineChanged.Raised():
 		}
 		time.Sleep(r.Join())
 	}
 }
 
-// Join is how long news waits for more before all gateways are told.
+// Join returns how long changes are batched before they are sent to all gateways.
 func (r *Relay) Join() time.Duration {
-	return max(newsJoin, time.Duration(r.Gateways())*joinPerGateway)
+	return max(batchDelay, time.Duration(r.Gateways())*batchDelayPerGateway)
 }
 
-// round takes in what is new and wakes the streams if there is anything.
+// round collects the current state and wakes the streams if it has changed.
 func (r *Relay) round(now time.Time) {
 	known := r.follower.Known()
 	next := relayState{
@@ -172,13 +172,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	next.version = max(next.version, r.borrowed.Version)
-	next.detached = apart(known.Reach, len(next.members)) || r.lags(now, next.version, known.Version)
-	r.borrowIfDue(now)
+	next.version = max(next.version, r.peerDocument.Version)
+	next.detached = withoutMajority(known.Reach, len(next.members)) || r.lagging(now, next.version, known.Version)
+	r.fetchFromPeerIfDue(now)
 	next.confirmedAt = r.cluster.Confirmed(now)
-	next.uncertain = now.Sub(later(r.began, next.confirmedAt)) > uncertainAfter
-	if next.same(&r.state) {
-		r.refresh(next)
+	next.uncertain = now.Sub(later(r.startedAt, next.confirmedAt)) > uncertainAfter
+	if next.equivalent(&r.state) {
+		r.refreshKeepalive(next)
 		return
 	}
 	next.round = r.state.round + 1
@@ -188,48 +188,48 @@
 	r.changed = make(chan struct{})
 }
 
-// refresh takes in what the next signs of life tell: another number of gateways, which
-// told at once would make each gateway that begins to follow any node news for all others,
-// and how old the configuration's confirmation is. The lock is held.
-func (r *Relay) refresh(next relayState) {
+// refreshKeepalive sets the number of gateways and the time of the configuration's confirmation,
+// which go out with the next keepalives. Sent at once, each gateway that connects to any node would
+// cause an update for all others. The caller holds the lock.
+func (r *Relay) refreshKeepalive(next relayState) {
 	r.state.gateways = next.gateways
 	r.state.confirmedAt = next.confirmedAt
 	clear(r.encoded)
 }
 
-// apart reports whether a node reaches no majority of the members, or knows none: one that
-// lost its disk is outside until it is let in.
-func apart(reach, members int) bool { return members == 0 || reach*2 <= members }
+// withoutMajority reports whether a node reaches no majority of the members. A node that knows no
+// members reaches none: it has lost its disk and has not been readmitted yet.
+func withoutMajority(reach, members int) bool { return members == 0 || reach*2 <= members }
 
-// lags reports whether others have had a newer configuration for too long; the lock is
-// held.
-func (r *Relay) lags(now time.Time, own, newest uint64) bool {
+// lagging reports whether others have had a newer configuration for more than lagLimit. The caller
+// holds the lock.
+func (r *Relay) lagging(now time.Time, own, newest uint64) bool {
 	if own >= newest {
-		r.lagsSince = time.Time{}
+		r.laggingSince = time.Time{}
 		return false
 	}
-	if r.lagsSince.IsZero() {
-		r.lagsSince = now
+	if r.laggingSince.IsZero() {
+		r.laggingSince = now
 	}
-	return now.Sub(r.lagsSince) > lagTime
+	return now.Sub(r.laggingSince) > lagLimit
 }
 
-// stream tells a gateway what is new until it is gone.
+// stream sends updates to a gateway until it disconnects.
 func (r *Relay) stream(peer *rpc.Peer) {
 	r.subscribe(peer)
 	defer r.unsubscribe(peer)
-	ticker := time.NewTicker(signEvery)
+	ticker := time.NewTicker(keepaliveInterval)
 	defer ticker.Stop()
-	var told relayState
+	var sent relayState
 	for {
-		update, state, changed, err := r.next(told)
+		update, state, changed, err := r.next(sent)
 		if err == nil {
 			err = r.slots.send(peer, update)
 		}
 		if err != nil {
 			return
 		}
-		told = state
+		sent = state
 		select {
 		case <-changed:
 		case <-ticker.C:
@@ -253,46 +253,47 @@
 	delete(r.subscribers, peer)
 }
 
-// next returns the encoded update for a gateway that was told a state, the state that
-// it leads to, and a channel that is closed when there is more.
-func (r *Relay) next(told relayState) (rpc.Notification, relayState, <-chan struct{}, error) {
+// next returns the encoded update for a gateway that was sent a state, the state that the update
+// leads to, and a channel that is closed when there is a newer one.
+func (r *Relay) next(sent relayState) (rpc.Notification, relayState, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	update, found := r.encoded[told.round]
+	update, found := r.encoded[sent.round]
 	if !found {
 		var err error
-		if update, err = rpc.NewNotification(wire.MethodFeed, r.update(&told)); err != nil {
-			return rpc.Notification{}, told, nil, err
+		if update, err = rpc.NewNotification(wire.MethodFeed, r.update(&sent)); err != nil {
+			return rpc.Notification{}, sent, nil, err
 		}
-		r.encoded[told.round] = update
+		r.encoded[sent.round] = update
 	}
 	return update, r.state, r.changed, nil
 }
 
-// update returns what a gateway that was told a state does not know; the lock is held.
-func (r *Relay) update(told *relayState) wire.FeedUpdate {
+// update returns the difference between the current state and the one that a gateway was sent. The
+// caller holds the lock.
+func (r *Relay) update(sent *relayState) wire.FeedUpdate {
 	s := &r.state
 	update := wire.FeedUpdate{Version: s.version, Gateways: s.gateways, Detached: s.detached, Uncertain: s.uncertain}
 	if !s.confirmedAt.IsZero() {
 		update.ConfirmedMS = max(r.now().Sub(s.confirmedAt).Milliseconds(), 1)
 	}
-	if told.round == 0 {
+	if sent.round == 0 {
 		update.Node, update.Zone, update.Full = r.node, r.zone, true
 	}
-	if !slices.Equal(told.members, s.members) {
+	if !slices.Equal(sent.members, s.members) {
 		update.Members = s.members
 	}
-	if told.stamp != s.stamp {
-		update.Standings = r.follower.Standings(told.stamp)
+	if sent.stamp != s.stamp {
+		update.Standings = r.follower.Standings(sent.stamp)
 	}
-	if told.quarantine != s.quarantine {
+	if sent.quarantine != s.quarantine {
 		update.Quarantine = s.quarantine
 	}
-	if told.drains != s.drains {
+	if sent.drains != s.drains {
 		update.Drains = s.drains
 	}
-	if told.holdings != s.holdings {
-		update.Holdings = r.deltas.since(told.holdings, s.holdings)
+	if sent.holdings != s.holdings {
+		update.Holdings = r.deltas.since(sent.holdings, s.holdings)
 	}
 	return update
 }
--- a/src/feed/relay_test.go
+++ b/src/feed/relay_test.go
@@ -14,9 +14,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// gatewayIn follows from an availability zone; the cut keeps it from reaching nodes.
-func (n *testNet) gatewayIn(zone string, cut *fault.Cut) (*Follower, *seen) {
-	s := &seen{}
+// newGateway starts the follower of a gateway in an availability zone; cut blocks its connections.
+func (n *testNet) newGateway(zone string, cut *fault.Cut) (*Follower, *recordingSink) {
+	s := &recordingSink{}
 	f := NewFollower(Options{Node: "g", Zone: zone, Gateway: true, Seeds: n.addresses()[:1]}, s.sink(), &rpc.Meter{}, cut, nil, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.t.Cleanup(cancel)
@@ -24,7 +24,7 @@
 	return f, s
 }
 
-// subscribers returns how many gateways follow each node.
+// subscribers returns the number of gateways that follow each node.
 func (n *testNet) subscribers() []int {
 	var counts []int
 	for _, node := range n.nodes {
@@ -44,14 +44,14 @@
 	}
 }
 
-// TestAGatewayFollowsOneControlNodeOfItsZone: what it costs does not grow with the
-// number of control nodes, and news crosses to its zone once.
+// TestAGatewayFollowsOneControlNodeOfItsZone guards against the cost of a gateway growing with the
+// number of control nodes, and against updates crossing to its zone more than once.
 func TestAGatewayFollowsOneControlNodeOfItsZone(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
-	_, s := n.gatewayIn("z", nil)
+	_, s := n.newGateway("z", nil)
 	eventually(t, "only the node of its zone is followed", n.onlyFollows(2))
 	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
-	eventually(t, "what another node was told is known", func() bool { _, usable := s.usable("r"); return usable })
+	eventually(t, "the replica that another node knows is known", func() bool { _, usable := s.usable("r"); return usable })
 	eventually(t, "all gateways are counted", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -59,45 +59,47 @@
 	})
 }
 
-// TestAFrozenControlNodeIsReplaced while it says nothing, and followed again when it is sound.
+// TestAFrozenControlNodeIsReplaced checks that another node is followed while the zone's own is
+// silent, and only the own one after it has recovered.
 func TestAFrozenControlNodeIsReplaced(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	cut := &fault.Cut{}
-	f, s := n.gatewayIn("z", cut)
+	f, s := n.newGateway("z", cut)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	cut.Set([]string{n.nodes[2].server.Address()})
 	eventually(t, "another one is followed as well", func() bool { return n.subscribers()[0]+n.subscribers()[1] > 0 })
 	n.nodes[1].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
-	eventually(t, "news arrives", func() bool { _, usable := s.usable("r"); return usable })
+	eventually(t, "the update arrives", func() bool { _, usable := s.usable("r"); return usable })
 	cut.Set(nil)
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 	eventually(t, "that one is in reach", func() bool { return f.Live() == 1 })
 	_, usable := s.usable("r")
 	if !usable {
-		t.Error("what the other node told is forgotten")
+		t.Error("the other node's update is lost")
 	}
 }
 
-// TestAControlNodeThatIsCutOffIsNotTheOnlyOne: a gateway that reaches its zone's node,
-// but not through it the others, follows another one beside it.
+// TestAControlNodeThatIsCutOffIsNotTheOnlyOne covers a gateway that reaches its zone's node while
+// that node can't reach the others.
 func TestAControlNodeThatIsCutOffIsNotTheOnlyOne(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
-	_, s := n.gatewayIn("z", nil)
+	_, s := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	n.nodes[2].cut.Set([]string{n.nodes[0].server.Address(), n.nodes[1].server.Address()})
 	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
-	eventually(t, "news of the others arrives", func() bool { _, usable := s.usable("r"); return usable })
+	eventually(t, "the update of the other nodes arrives", func() bool { _, usable := s.usable("r"); return usable })
 	n.nodes[2].publisher.Hear(context.Background(), registry.Record{ID: "q", Sequence: 1})
 	eventually(t, "news of the own zone arrives", func() bool { _, usable := s.usable("q"); return usable })
 	n.nodes[2].cut.Set(nil)
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestAControlNodeWithoutMembersIsNotTheOnlyOne: it lost its disk and is not let in yet.
+// TestAControlNodeWithoutMembersIsNotTheOnlyOne covers a node that has lost its disk and has not
+// been readmitted yet.
 func TestAControlNodeWithoutMembersIsNotTheOnlyOne(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	n.nodes[2].outside.Store(true)
-	n.gatewayIn("z", nil)
+	n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed and another one beside it", func() bool {
 		counts := n.subscribers()
 		return counts[2] == 1 && counts[0]+counts[1] == 1
@@ -106,13 +108,13 @@
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestAControlNodeThatIsNotCertainIsNotTheOnlyOne: it reaches the others but knows no
-// leader, so that nobody tells it of a newer configuration.
+// TestAControlNodeThatIsNotCertainIsNotTheOnlyOne covers a node that reaches the others but knows
+// no leader, so that it would not learn of a newer configuration.
 func TestAControlNodeThatIsNotCertainIsNotTheOnlyOne(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
-	f, _ := n.gatewayIn("z", nil)
+	f, _ := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
-	eventually(t, "its certainty is known", func() bool { return !f.Known().Confirmed.IsZero() })
+	eventually(t, "its confirmation is known", func() bool { return !f.Known().Confirmed.IsZero() })
 	n.nodes[2].unconfirmed.Store(true)
 	eventually(t, "another one is followed beside it", func() bool {
 		counts := n.subscribers()
@@ -122,12 +124,13 @@
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestAZoneThatIsCutOffGoesOn: a gateway that reaches only its own zone's node keeps to it.
+// TestAZoneThatIsCutOffGoesOn checks that a gateway that reaches only its own zone's node keeps
+// following it.
 func TestAZoneThatIsCutOffGoesOn(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	others := []string{n.nodes[0].server.Address(), n.nodes[1].server.Address()}
 	cut := &fault.Cut{}
-	f, s := n.gatewayIn("z", cut)
+	f, s := n.newGateway("z", cut)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	n.nodes[2].cut.Set(others)
 	cut.Set(others)
@@ -138,14 +141,14 @@
 	}
 }
 
-// TestAControlNodeThatLagsIsNotTheOnlyOne: a configuration that others have applied comes
-// into force although the own zone's node does not get it.
+// TestAControlNodeThatLagsIsNotTheOnlyOne checks that a configuration that other nodes have applied
+// comes into force although the own zone's node does not receive it.
 func TestAControlNodeThatLagsIsNotTheOnlyOne(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
-	_, s := n.gatewayIn("z", nil)
+	_, s := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
-	n.nodes[0].put(4, "four")
-	n.nodes[1].put(4, "four")
+	n.nodes[0].setDocument(4, "four")
+	n.nodes[1].setDocument(4, "four")
 	eventually(t, "version 4 is in force", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -153,22 +156,22 @@
 	})
 }
 
-// TestAControlNodeThatLagsPassesOnWhatAnotherHasApplied: without a leader it never gets it
-// by consensus, and its gateways may reach no other node.
+// TestAControlNodeThatLagsPassesOnWhatAnotherHasApplied covers a node without a leader, which never
+// receives the configuration by consensus, and gateways that reach no other node.
 func TestAControlNodeThatLagsPassesOnWhatAnotherHasApplied(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	cut := &fault.Cut{}
-	f, s := n.gatewayIn("z", cut)
+	f, s := n.newGateway("z", cut)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	cut.Set([]string{n.nodes[0].server.Address(), n.nodes[1].server.Address()})
-	n.nodes[0].put(4, "four")
+	n.nodes[0].setDocument(4, "four")
 	eventually(t, "version 4 is in force", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.versions) == 1 && s.versions[0] == 4
 	})
-	n.nodes[2].put(5, "five")
-	eventually(t, "what the node applies itself goes on", func() bool {
+	n.nodes[2].setDocument(5, "five")
+	eventually(t, "a newer configuration of the node itself is in force", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.versions) == 2 && s.versions[1] == 5
@@ -178,26 +181,28 @@
 	}
 }
 
-// TestTwoControlNodesThatDisagree: that a replica leaves counts, whoever says so.
+// TestTwoControlNodesThatDisagree checks that a replica counts as leaving if either node reports
+// it.
 func TestTwoControlNodesThatDisagree(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	for _, node := range n.nodes {
 		node.publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	}
-	_, s := n.gatewayIn("z", nil)
+	_, s := n.newGateway("z", nil)
 	eventually(t, "the replica is known", func() bool { _, usable := s.usable("r"); return usable })
 	n.nodes[2].cut.Set([]string{n.nodes[0].server.Address(), n.nodes[1].server.Address()})
 	eventually(t, "another node is followed as well", func() bool { return n.subscribers()[0]+n.subscribers()[1] > 0 })
 	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true})
 	eventually(t, "the replica leaves", func() bool { _, usable := s.usable("r"); return !usable })
 	n.nodes[2].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
-	time.Sleep(3 * newsJoin)
+	time.Sleep(3 * batchDelay)
 	if _, usable := s.usable("r"); usable {
-		t.Error("that it leaves was taken back")
+		t.Error("the replica counts as running again")
 	}
 }
 
-// TestGatewaysThatWereToldTheSameAreSentTheSame bytes: a change is encoded once.
+// TestGatewaysThatWereToldTheSameAreSentTheSame checks that an update is encoded once for all
+// gateways in the same state.
 func TestGatewaysThatWereToldTheSameAreSentTheSame(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
@@ -218,10 +223,11 @@
 		return len(update.Standings) == 1
 	})
 	is.True(!update.Full)
-	is.Equal(len(update.Standings[0].Record.InMemory), 0) // only placing needs it
+	is.Equal(len(update.Standings[0].Record.InMemory), 0) // only placement needs it
 }
 
-// TestEveryGatewayOfANodeIsTold what the node tells beside the stream, and none that left.
+// TestEveryGatewayOfANodeIsTold checks that Tell reaches a gateway that follows the node, and that
+// one that has left is forgotten.
 func TestEveryGatewayOfANodeIsTold(t *testing.T) {
 	n := newTestNet(t, 1)
 	told := make(chan wire.Backlogs, 16)
--- a/src/feed/slots.go
+++ b/src/feed/slots.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// sendsAtOnce is how many gateways a control node tells something at the same moment.
-	// Goroutines that are ready to run take turns, so that with 240 streams ready, consensus
-	// got a turn after 0.4 to 0.8 s on half a core; with these few it gets one after as many
-	// sends, of some 50 microseconds each.
-	sendsAtOnce = 4
-	// slotWait is how long a send waits for one of these places before it goes on without:
-	// gateways that don't read must not hold up the others.
-	slotWait = 200 * time.Millisecond
+	// maxConcurrentSends is how many gateways a control node sends to at the same time. Runnable
+	// goroutines take turns, so that with 240 streams ready to send, consensus had to wait for 0.4
+	// to 0.8 s on half a core; with this limit it waits for at most that many sends, of some 50
+	// microseconds each.
+	maxConcurrentSends = 4
+	// slotTimeout is how long a send waits for a slot before it proceeds without one: gateways that
+	// don't read must not hold up the others.
+	slotTimeout = 200 * time.Millisecond
 )
 
-// sendSlots are the places for sends to gateways.
+// sendSlots is a semaphore for sends to gateways.
 type sendSlots chan struct{}
 
-func newSendSlots() sendSlots { return make(sendSlots, sendsAtOnce) }
+func newSendSlots() sendSlots { return make(sendSlots, maxConcurrentSends) }
 
-// send sends a notification once there is a place for it.
+// send sends a notification, holding a slot unless none became free within slotTimeout.
 func (s sendSlots) send(peer *rpc.Peer, n rpc.Notification) error {
-	if s.take(slotWait) {
+	if s.acquire(slotTimeout) {
 		defer s.release()
 	}
 	return peer.Send(n)
 }
 
-// take waits for a place; it reports whether there was one within a time.
-func (s sendSlots) take(wait time.Duration) bool {
+// acquire waits for a slot and reports whether it got one in time.
+func (s sendSlots) acquire(wait time.Duration) bool {
 	select {
 	case s <- struct{}{}:
 		return true
--- a/src/feed/slots_test.go
+++ b/src/feed/slots_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// TestFewAreToldAtOnce: a place is given to as many as there are, and to the next one once
-// one of them is done.
-func TestFewAreToldAtOnce(t *testing.T) {
+// TestConcurrentSendsAreBounded checks that there are only so many slots, and that a released one
+// can be acquired again.
+func TestConcurrentSendsAreBounded(t *testing.T) {
 	is := is.New(t)
 	slots := newSendSlots()
-	for range sendsAtOnce {
-		is.True(slots.take(time.Hour))
+	for range maxConcurrentSends {
+		is.True(slots.acquire(time.Hour))
 	}
-	is.True(!slots.take(time.Millisecond)) // who waited in vain goes on without one
+	is.True(!slots.acquire(time.Millisecond)) // the caller proceeds without a slot
 	slots.release()
-	is.True(slots.take(time.Hour))
+	is.True(slots.acquire(time.Hour))
 }
--- a/src/feed/source.go
+++ b/src/feed/source.go
@@ -10,63 +10,63 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of one source.
+// The timing of one source.
 const (
-	// gatewaysCount is how long the gateways of a lost control node count on: they
-	// follow another one soon, and a retry budget must not be shared among too few.
-	gatewaysCount = 10 * time.Second
-	// gatewaySilence is feedSilence for a gateway, which has another control node long
-	// before.
-	gatewaySilence = 1500 * time.Millisecond
+	// lostGatewayRetention is how long the gateways of a lost control node are still counted. They
+	// connect to another one soon, and a retry budget must not be divided among too few in the
+	// meantime.
+	lostGatewayRetention = 10 * time.Second
+	// gatewayStreamSilenceLimit is streamSilenceLimit for a gateway, which follows another control
+	// node long before.
+	gatewayStreamSilenceLimit = 1500 * time.Millisecond
 )
 
-// source is one control node that may be followed.
+// source is a control node that can be followed.
 type source struct {
 	address string
 	client  *rpc.Client
 	// zone is "" until it is known.
 	zone string
-	// rank orders the sources of one kind, differently for each follower.
+	// rank orders the sources of one zone, differently for each follower.
 	rank uint64
-	// stop ends the following; nil while the node is not followed, which it is since
-	// startedAt.
+	// stop ends the subscription, which began at startedAt; it is nil while there is none.
 	stop      context.CancelFunc
 	startedAt time.Time
-	// failed is set while the last try to follow it failed.
+	// failed is set while the last attempt to subscribe has failed.
 	failed   bool
 	version  uint64
 	live     bool
 	leading  bool
 	detached bool
-	// uncertain is set while the node does not know that its configuration is the newest,
-	// which it last knew at confirmedAt, the zero time if that is not known.
+	// uncertain is set while the node can't confirm that its configuration is the newest;
+	// confirmedAt is when it last could, the zero time if unknown.
 	uncertain   bool
 	confirmedAt time.Time
-	// gateways is how many gateways follow the node, as it says.
+	// gateways is the number of gateways that follow the node, as it reports.
 	gateways int
 	heardAt  time.Time
 	lostAt   time.Time
-	// refusedAt is when it last gave no configuration.
-	refusedAt time.Time
-	// holdings are the whole holdings that it told of last.
+	// fetchFailedAt is when the node last failed to deliver a configuration.
+	fetchFailedAt time.Time
+	// holdings are the complete holdings that it last reported.
 	holdings *wire.Holdings
 }
 
-// sound reports whether a gateway needs no other control node beside this one.
-func (s *source) sound(now time.Time) bool { return s.attached(now) && !s.uncertain }
+// healthy reports whether a gateway needs no other control node in addition to this one.
+func (s *source) healthy(now time.Time) bool { return s.attached(now) && !s.uncertain }
 
-// attached reports whether a source is heard and in touch with a majority.
+// attached reports whether the source is connected, not silent, and reaches a majority.
 func (s *source) attached(now time.Time) bool {
-	return s.live && !s.detached && now.Sub(s.heardAt) < unsoundAfter
+	return s.live && !s.detached && now.Sub(s.heardAt) < unhealthyAfter
 }
 
-// add takes in control nodes that may be followed; the lock is held.
-func (f *Follower) add(members []wire.Member) {
+// addSources adds control nodes that can be followed. The caller holds the lock.
+func (f *Follower) addSources(members []wire.Member) {
 	for _, member := range members {
 		s := f.sources[member.Address]
 		if s == nil {
-			s = &source{address: member.Address, rank: rankOf(f.options.Node, member.Address)}
-			s.client = f.clientOf(s)
+			s = &source{address: member.Address, rank: rankFor(f.options.Node, member.Address)}
+			s.client = f.newClient(s)
 			f.sources[member.Address] = s
 		}
 		if s.zone == "" {
@@ -75,38 +75,39 @@
 	}
 }
 
-// rankOf spreads the gateways over the control nodes of a zone.
-func rankOf(node, address string) uint64 {
+// rankFor hashes a gateway and a control node, which spreads the gateways of a zone over its
+// control nodes.
+func rankFor(node, address string) uint64 {
 	h := fnv.New64a()
-	// A hash takes every byte.
+	// Write never fails for a hash.
 	_, _ = h.Write([]byte(node + " " + address))
 	return h.Sum64()
 }
 
-func (f *Follower) clientOf(s *source) *rpc.Client {
+func (f *Follower) newClient(s *source) *rpc.Client {
 	mux := rpc.NewMux()
 	mux.Handle(wire.MethodFeed, func(_ context.Context, _ *rpc.Peer, raw json.RawMessage) (any, error) {
 		var update wire.FeedUpdate
 		if err := json.Unmarshal(raw, &update); err != nil {
 			return nil, err
 		}
-		f.take(s, update)
+		f.handleUpdate(s, update)
 		return wire.Empty{}, nil
 	})
-	mux.Handle(wire.MethodLoadTotals, rpc.Typed(f.takeLoads))
-	mux.Handle(wire.MethodBacklogs, rpc.Typed(f.takeBacklogs))
-	mux.Handle(wire.MethodLimits, rpc.Typed(f.takeLimits))
-	silence := feedSilence
+	mux.Handle(wire.MethodLoadTotals, rpc.Typed(f.handleLoads))
+	mux.Handle(wire.MethodBacklogs, rpc.Typed(f.handleBacklogs))
+	mux.Handle(wire.MethodLimits, rpc.Typed(f.handleLimits))
+	silence := streamSilenceLimit
 	if f.options.Gateway {
-		silence = gatewaySilence
+		silence = gatewayStreamSilenceLimit
 	}
 	client := rpc.NewClient(s.address, mux, f.meter, f.cut, silence)
-	client.SetUrgent(f.alone)
+	client.SetUrgent(f.disconnected)
 	return client
 }
 
-// start begins to follow a source; the lock is held.
-func (f *Follower) start(now time.Time, s *source) {
+// startFollowing subscribes to a source unless it is followed already. The caller holds the lock.
+func (f *Follower) startFollowing(now time.Time, s *source) {
 	if s.stop != nil {
 		return
 	}
@@ -114,11 +115,11 @@
 	s.failed = false
 	ctx, cancel := context.WithCancel(f.context)
 	s.stop = cancel
-	go f.run(ctx, s)
+	go f.keepStream(ctx, s)
 }
 
-// leave ends the following of a source; the lock is held.
-func (f *Follower) leave(s *source) {
+// stopFollowing ends the subscription to a source. The caller holds the lock.
+func (f *Follower) stopFollowing(s *source) {
 	if s.stop == nil {
 		return
 	}
@@ -126,18 +127,18 @@
 	s.stop = nil
 	s.client.Disconnect()
 	if s.live {
-		f.drop(s)
+		f.markLost(s)
 	}
 }
 
-// run keeps a stream to one control node until the context ends.
-func (f *Follower) run(ctx context.Context, s *source) {
+// keepStream keeps a stream from one control node open until the context ends.
+func (f *Follower) keepStream(ctx context.Context, s *source) {
 	request := wire.FeedRequest{Node: f.options.Node, Zone: f.options.Zone, Gateway: f.options.Gateway}
 	for failures := 0; ctx.Err() == nil; failures++ {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := s.client.Call(call, wire.MethodWatchFeed, request, nil)
 		cancel()
-		f.noteTry(s, err)
+		f.recordAttempt(s, err)
 		if err == nil {
 			failures = 0
 			select {
@@ -145,46 +146,47 @@
 			case <-ctx.Done():
 				return
 			}
-			f.lose(s)
+			f.handleStreamEnd(s)
 		}
 		select {
-		case <-time.After(f.resubscribePause(failures)):
+		case <-time.After(f.resubscribeDelay(failures)):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// noteTry takes in how a try to follow a source ended; another one may be due.
-func (f *Follower) noteTry(s *source, err error) {
+// recordAttempt records the result of an attempt to subscribe; after a change another source may
+// have to be followed.
+func (f *Follower) recordAttempt(s *source, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	failed := err != nil
 	if failed != s.failed {
 		s.failed = failed
-		f.reconsider(f.now())
+		f.updateFollowed(f.now())
 		f.check.Raise()
 	}
 }
 
-// resubscribePause is the pause before a stream is asked for again, after so many
-// failures in a row.
-func (f *Follower) resubscribePause(failures int) time.Duration {
-	if f.alone() {
-		return resubscribeUrgent
+// resubscribeDelay returns the delay before a stream is reopened after a number of consecutive
+// failures.
+func (f *Follower) resubscribeDelay(failures int) time.Duration {
+	if f.disconnected() {
+		return disconnectedResubscribeDelay
 	}
-	return min(resubscribe<<min(failures, 8), resubscribeLongest)
+	return min(minResubscribeDelay<<min(failures, 8), maxResubscribeDelay)
 }
 
-// gateways returns how many gateways there are. A gateway's sources say the number of
-// all; what control nodes say of themselves adds up. The lock is held.
+// gateways returns the number of gateways. To a gateway each source reports the number of all of
+// them; to a control node each reports its own, and they are added up. The caller holds the lock.
 func (f *Follower) gateways(now time.Time) int {
 	most, sum := 0, 0
 	for _, s := range f.sources {
 		if s.live {
 			most = max(most, s.gateways)
 		}
-		if s.live || now.Sub(s.lostAt) < gatewaysCount {
+		if s.live || now.Sub(s.lostAt) < lostGatewayRetention {
 			sum += s.gateways
 		}
 	}
--- a/src/feed/stream.go
+++ b/src/feed/stream.go
@@ -9,11 +9,12 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// newsJoin is how long news waits for more before it leaves: replicas call and are
-// ordered in clumps, and each message costs a wake-up on either side.
-const newsJoin = 15 * time.Millisecond
+// batchDelay is how long changes are collected before they are sent: heartbeats and orders come in
+// bursts, and each message costs a wake-up on both sides.
+const batchDelay = 15 * time.Millisecond
 
-func (p *Publisher) watch(_ context.Context, peer *rpc.Peer, request wire.FeedRequest) (wire.Empty, error) {
+// handleWatch starts a stream to the calling gateway or control node.
+func (p *Publisher) handleWatch(_ context.Context, peer *rpc.Peer, request wire.FeedRequest) (wire.Empty, error) {
 	if peer == nil {
 		return wire.Empty{}, rpc.ErrUnreachable
 	}
@@ -25,48 +26,48 @@
 	return wire.Empty{}, nil
 }
 
-// stream tells another control node what is new until it is gone.
+// stream sends updates to another control node until it disconnects.
 func (p *Publisher) stream(peer *rpc.Peer) {
-	ticker := time.NewTicker(signEvery)
+	ticker := time.NewTicker(keepaliveInterval)
 	defer ticker.Stop()
 	stream := feedStream{publisher: p, first: true}
 	for {
-		committed := p.cluster.Changed()
+		configChanged := p.cluster.Changed()
 		update, changed := stream.next()
 		if err := peer.Notify(wire.MethodFeed, update); err != nil {
 			return
 		}
 		select {
 		case <-changed:
-		case <-committed:
+		case <-configChanged:
 		case <-ticker.C:
 			continue
 		case <-peer.Done():
 			return
 		}
-		time.Sleep(newsJoin)
+		time.Sleep(batchDelay)
 	}
 }
 
-// holdingsDelta makes the differences between holdings. Most subscribers were told the
-// same before, so the latest difference is kept.
-type holdingsDelta struct {
+// deltaCache computes deltas between holdings. It keeps the latest one, since most subscribers were
+// sent the same holdings before.
+type deltaCache struct {
 	delta *wire.Holdings
 }
 
-// since returns holdings for a subscriber that was told some before: what changed, if
-// they are of the same term.
-func (d *holdingsDelta) since(told, now *wire.Holdings) *wire.Holdings {
-	if told == nil || now == nil || told.Term != now.Term {
+// since returns the update for a subscriber that was sent some holdings before: a delta if both are
+// of the same term, else the complete holdings.
+func (d *deltaCache) since(sent, now *wire.Holdings) *wire.Holdings {
+	if sent == nil || now == nil || sent.Term != now.Term {
 		return now
 	}
-	if d.delta == nil || d.delta.Base != told.Version || d.delta.Version != now.Version || d.delta.Term != told.Term {
-		d.delta = now.Since(told)
+	if d.delta == nil || d.delta.Base != sent.Version || d.delta.Version != now.Version || d.delta.Term != sent.Term {
+		d.delta = now.Since(sent)
 	}
 	return d.delta
 }
 
-// feedStream is what one control node was told already.
+// feedStream tracks what one control node was already sent.
 type feedStream struct {
 	publisher *Publisher
 	first     bool
@@ -74,11 +75,11 @@
 	holdings  *wire.Holdings
 	members   []string
 	drains    *wire.ZoneDrains
-	deltas    holdingsDelta
+	deltas    deltaCache
 }
 
-// next returns what the subscriber does not know yet, and a channel that is
-// closed when there is more.
+// next returns what the subscriber was not sent yet, and a channel that is closed at the next
+// change.
 func (s *feedStream) next() (wire.FeedUpdate, <-chan struct{}) {
 	p := s.publisher
 	update := wire.FeedUpdate{Version: p.cluster.Version(), Leading: p.cluster.Leading()}
@@ -87,7 +88,7 @@
 	}
 	if members := p.cluster.Members(); s.first || !slices.Equal(members, s.members) {
 		s.members = members
-		update.Members = asMembers(members)
+		update.Members = toMembers(members)
 	}
 	if drains := p.cluster.Drains(); drains != s.drains {
 		s.drains = drains
@@ -107,7 +108,7 @@
 	return update, p.changed
 }
 
-func asMembers(addresses []string) []wire.Member {
+func toMembers(addresses []string) []wire.Member {
 	members := make([]wire.Member, 0, len(addresses))
 	for _, address := range addresses {
 		members = append(members, wire.Member{Address: address})
--- a/src/follow/follower.go
+++ b/src/follow/follower.go
@@ -17,27 +17,27 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The follower's times.
+// The timing of a follower.
 const (
-	// silenceLimit ends a connection whose other side answers no ping.
+	// silenceLimit is the time after which a connection whose other side answers no ping is closed.
 	silenceLimit = 2 * time.Second
 	callTimeout  = 2 * time.Second
-	// beatEvery is how often a heartbeat is sent.
-	beatEvery = 3 * time.Second
-	// retryEvery is the pause after no control node was in reach.
-	retryEvery = 300 * time.Millisecond
-	// peerEvery is how often peers are asked while no control node is in reach.
-	peerEvery = time.Second
+	// heartbeatInterval is how often a heartbeat is sent.
+	heartbeatInterval = 3 * time.Second
+	// retryDelay is the delay before another attempt when no control node could be reached.
+	retryDelay = 300 * time.Millisecond
+	// peerTimeout bounds a request to a peer while no control node is connected.
+	peerTimeout = time.Second
 )
 
-// Follower holds the newest configuration that this process has seen. It is
-// safe for concurrent use.
+// Follower holds the newest configuration that this process has received. It is safe for concurrent
+// use.
 type Follower struct {
 	controlNodes []*rpc.Client
 	meter        *rpc.Meter
 	cut          *fault.Cut
 	ring         *event.Ring
-	beat         func(config.Revision) wire.Heartbeat
+	heartbeat    func(config.Revision) wire.Heartbeat
 
 	mu      sync.Mutex
 	set     *config.Set
@@ -47,16 +47,17 @@
 	peers   map[string]*rpc.Client
 }
 
-// New returns a follower of control nodes, those of the own zone first; beat makes the heartbeats.
-func New(controlNodes []option.Peer, zone string, meter *rpc.Meter, cut *fault.Cut, ring *event.Ring, beat func(config.Revision) wire.Heartbeat) *Follower {
+// New returns a follower of the control nodes, those of the own zone first. heartbeat builds the
+// heartbeats.
+func New(controlNodes []option.Peer, zone string, meter *rpc.Meter, cut *fault.Cut, ring *event.Ring, heartbeat func(config.Revision) wire.Heartbeat) *Follower {
 	f := &Follower{
-		meter:   meter,
-		cut:     cut,
-		ring:    ring,
-		beat:    beat,
-		set:     config.NewSet(config.Revision{}, nil),
-		changed: make(chan struct{}),
-		peers:   map[string]*rpc.Client{},
+		meter:     meter,
+		cut:       cut,
+		ring:      ring,
+		heartbeat: heartbeat,
+		set:       config.NewSet(config.Revision{}, nil),
+		changed:   make(chan struct{}),
+		peers:     map[string]*rpc.Client{},
 	}
 	mux := rpc.NewMux()
 	mux.Handle(wire.MethodUpdate, rpc.Typed(f.update))
@@ -70,9 +71,9 @@
 	return f
 }
 
-// Register lets peers ask this process for its configuration.
+// Register lets peers fetch this process's configuration.
 func (f *Follower) Register(mux *rpc.Mux) {
-	mux.Handle(wire.MethodConfig, rpc.Typed(f.answer))
+	mux.Handle(wire.MethodConfig, rpc.Typed(f.handleConfig))
 }
 
 // Set returns the configuration in force in this process.
@@ -82,14 +83,14 @@
 	return f.set
 }
 
-// Changed returns a channel that is closed when the configuration next moves.
+// Changed returns a channel that is closed at the next change of the configuration.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// ControlNode returns the control node in use, or the first to try.
+// ControlNode returns the connected control node, or the first one to try if there is none.
 func (f *Follower) ControlNode() *rpc.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,15 +100,15 @@
 	return f.controlNodes[0]
 }
 
-// Connected reports whether a control node is in reach.
+// Connected reports whether a control node is connected.
 func (f *Follower) Connected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current != nil
 }
 
-// Call asks the control node in use, or the first one that can be reached. It goes on
-// to another only while no request was sent.
+// Call calls the connected control node, or the first one that can be reached. It tries another one
+// only if the request was not sent.
 func (f *Follower) Call(ctx context.Context, method string, params, result any) error {
 	err := f.ControlNode().Call(ctx, method, params, result)
 	if !errors.Is(err, rpc.ErrUnreachable) {
@@ -122,7 +123,7 @@
 	return err
 }
 
-// Peers returns clients of live processes of the same role and zone.
+// Peers returns clients of the running processes of the same role and zone.
 func (f *Follower) Peers() []*rpc.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,8 +134,8 @@
 	return clients
 }
 
-// Await waits until a control node or peer has given the newest configuration it has,
-// at most for limit; it reports whether that happened.
+// Await waits until a control node or peer has delivered its newest configuration, at most for the
+// duration limit. It reports whether that happened.
 func (f *Follower) Await(ctx context.Context, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -156,12 +157,12 @@
 }
 
 func (f *Follower) update(_ context.Context, _ *rpc.Peer, update config.Update) (wire.Empty, error) {
-	f.take(update)
+	f.apply(update)
 	return wire.Empty{}, nil
 }
 
-// take moves forward by an update; it never moves back.
-func (f *Follower) take(update config.Update) {
+// apply applies an update if it is newer than the current configuration.
+func (f *Follower) apply(update config.Update) {
 	f.mu.Lock()
 	next, moved := f.set.Apply(update)
 	f.set = next
@@ -177,7 +178,7 @@
 	}
 }
 
-func (f *Follower) answer(_ context.Context, _ *rpc.Peer, request wire.ConfigRequest) (config.Update, error) {
+func (f *Follower) handleConfig(_ context.Context, _ *rpc.Peer, request wire.ConfigRequest) (config.Update, error) {
 	set := f.Set()
 	if !request.From.Before(set.Revision()) {
 		return config.Update{From: request.From, To: request.From}, nil
@@ -187,7 +188,7 @@
 
 // Run follows the control nodes until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	go f.sendBeats(ctx)
+	go f.sendHeartbeats(ctx)
 	for ctx.Err() == nil {
 		for _, controlNode := range f.controlNodes {
 			if f.subscribe(ctx, controlNode) {
@@ -196,8 +197,8 @@
 				f.setCurrent(nil)
 			}
 		}
-		f.askPeers(ctx)
-		pause(ctx, retryEvery)
+		f.fetchFromPeers(ctx)
+		sleep(ctx, retryDelay)
 	}
 }
 
@@ -214,14 +215,14 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// subscribe gets what is missing from a control node and starts its stream.
+// subscribe fetches the missing part of the configuration from a control node and opens its stream.
 func (f *Follower) subscribe(ctx context.Context, controlNode *rpc.Client) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -240,27 +241,28 @@
 	if err := json.Unmarshal(raw, &update); err != nil {
 		return false
 	}
-	f.take(update)
+	f.apply(update)
 	return true
 }
 
-// askPeers takes what peers in the zone have while no control node is in reach.
-func (f *Follower) askPeers(ctx context.Context) {
+// fetchFromPeers applies the configurations of peers in the zone while no control node is
+// connected.
+func (f *Follower) fetchFromPeers(ctx context.Context) {
 	for _, peer := range f.Peers() {
-		ctx, cancel := context.WithTimeout(ctx, peerEvery)
+		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		f.fetch(ctx, peer)
 		cancel()
 	}
 }
 
-func (f *Follower) sendBeats(ctx context.Context) {
+func (f *Follower) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.sendBeat(ctx)
-		pause(ctx, beatEvery)
+		f.sendHeartbeat(ctx)
+		sleep(ctx, heartbeatInterval)
 	}
 }
 
-func (f *Follower) sendBeat(ctx context.Context) {
+func (f *Follower) sendHeartbeat(ctx context.Context) {
 	f.mu.Lock()
 	controlNode := f.current
 	f.mu.Unlock()
@@ -270,14 +272,14 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply wire.HeartbeatReply
-	if err := controlNode.Call(ctx, wire.MethodHeartbeat, f.beat(f.Set().Revision()), &reply); err != nil {
+	if err := controlNode.Call(ctx, wire.MethodHeartbeat, f.heartbeat(f.Set().Revision()), &reply); err != nil {
 		return
 	}
 	f.setPeers(reply.Peers)
 }
 
-// setPeers remembers the peers that the control node named. While no control node answers
-// the last ones named stay.
+// setPeers replaces the peers by those that the control node listed. The last list is kept while no
+// control node answers.
 func (f *Follower) setPeers(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/loadview/backlog.go
+++ b/src/loadview/backlog.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// longestBacklogPause is the most time between two rounds of backlogs: below the
-	// 120 ms that reading a prompt takes on the users' engines. Each round wakes every
-	// gateway: with 40 ms a day with trouble at 295 gateways took 763 s of processor time
-	// in 55 s of traffic, and 597 s in 67 s without backlogs.
-	longestBacklogPause = 90 * time.Millisecond
-	// BacklogJoin is how long a gateway's or control node's sends wait for others.
+	// maxBacklogInterval is the longest interval between two rounds of backlogs, below the 120 ms
+	// that engines take to read a prompt. Each round wakes every gateway: with 40 ms, a day with
+	// faults at 295 gateways took 763 s of processor time in 55 s of traffic, against 597 s in 67 s
+	// without backlogs.
+	maxBacklogInterval = 90 * time.Millisecond
+	// BacklogJoin is how long a gateway or control node collects sent prompts before it reports
+	// them.
 	BacklogJoin = 5 * time.Millisecond
-	// leastBacklog is the backlog from which a replica is told of: with less it is
-	// about to be idle when the word arrives.
-	leastBacklog = 30 * time.Millisecond
-	// mostBacklog bounds the backlog that is kept of one replica: an estimate that
-	// runs away must not close it for good.
-	mostBacklog = 2 * time.Second
+	// minBacklog is the shortest backlog that is reported: a replica with less is about to be idle
+	// when the report arrives.
+	minBacklog = 30 * time.Millisecond
+	// maxBacklog bounds the backlog tracked per replica, so that a wrong estimate can't keep
+	// requests away from a replica for good.
+	maxBacklog = 2 * time.Second
 )
 
-// BacklogPause is the least time between two rounds of backlogs.
+// BacklogPause returns the interval between two rounds of backlogs.
 func BacklogPause(gateways, replicas int) time.Duration {
-	return min(Pause(gateways, replicas), longestBacklogPause)
+	return min(Pause(gateways, replicas), maxBacklogInterval)
 }
 
-// Backlog estimates until when each replica reads the prompts that all gateways have
-// sent it. A prompt adds its reading time, and time takes it off: nothing need be told
-// when a prompt has been read. It is safe for concurrent use.
+// Backlog estimates until when each replica is busy reading the prompts that all gateways have sent
+// it. Each prompt adds its reading time, and the estimate falls as time passes, so that nobody
+// needs to report when a prompt has been read. It is safe for concurrent use.
 type Backlog struct {
 	mu      sync.Mutex
 	readAt  map[string]time.Time
 	own     []wire.Sent
 	changed wakeup.Flag
-	// passable delivers when there is something to pass on.
-	passable wakeup.Flag
+	// forwardable is raised when there are prompts to forward.
+	forwardable wakeup.Flag
 }
 
 // NewBacklog returns an empty backlog.
 func NewBacklog() *Backlog {
-	return &Backlog{readAt: map[string]time.Time{}, changed: wakeup.New(), passable: wakeup.New()}
+	return &Backlog{readAt: map[string]time.Time{}, changed: wakeup.New(), forwardable: wakeup.New()}
 }
 
-// Add takes in prompts that were sent; own says that they are to be passed on to the
-// other control nodes.
+// Add adds prompts that were sent. own is set for those to be forwarded to the other control nodes.
 func (b *Backlog) Add(now time.Time, sent []wire.Sent, own bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,31 +58,31 @@
 	}
 	if own {
 		b.own = append(b.own, sent...)
-		b.passable.Raise()
+		b.forwardable.Raise()
 	}
 	b.changed.Raise()
 }
 
-// After returns until when a replica reads that was to read until readAt and is sent a
-// prompt now that takes it so long.
+// After returns until when a replica reads that would have been reading until readAt and is now
+// sent a prompt with the given reading time.
 func After(now, readAt time.Time, prompt time.Duration) time.Time {
 	if readAt.Before(now) {
 		readAt = now
 	}
 	readAt = readAt.Add(prompt)
-	if most := now.Add(mostBacklog); readAt.After(most) {
+	if most := now.Add(maxBacklog); readAt.After(most) {
 		return most
 	}
 	return readAt
 }
 
-// Changed delivers when something was added since it last did.
+// Changed returns a channel that delivers when prompts were added since it last did.
 func (b *Backlog) Changed() <-chan struct{} { return b.changed.Raised() }
 
-// Passable delivers when there is something that Own has not returned.
-func (b *Backlog) Passable() <-chan struct{} { return b.passable.Raised() }
+// Passable returns a channel that delivers when there are prompts that Own has not returned.
+func (b *Backlog) Passable() <-chan struct{} { return b.forwardable.Raised() }
 
-// Own returns what is to be passed on, once.
+// Own returns the prompts to forward to the other control nodes, each of them once.
 func (b *Backlog) Own() []wire.Sent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,7 +91,7 @@
 	return own
 }
 
-// Totals returns the backlogs that matter, packed, and forgets those that are over.
+// Totals returns the backlogs of at least minBacklog, packed, and removes those that have ended.
 func (b *Backlog) Totals(now time.Time) wire.Backlogs {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +102,7 @@
 			delete(b.readAt, replica)
 			continue
 		}
-		if left >= leastBacklog {
+		if left >= minBacklog {
 			totals.Packed = binary.BigEndian.AppendUint64(totals.Packed, Key(replica))
 			totals.Packed = binary.BigEndian.AppendUint16(totals.Packed, uint16(left.Milliseconds()))
 		}
@@ -110,10 +110,10 @@
 	return totals
 }
 
-// entryBytes is the size of one packed backlog: the replica's key, then milliseconds.
+// entryBytes is the size of a packed backlog: the replica's key and the duration in milliseconds.
 const entryBytes = 8 + 2
 
-// Unpack calls f for each backlog.
+// Unpack calls f for each packed backlog.
 func Unpack(totals wire.Backlogs, f func(key uint64, backlog time.Duration)) {
 	for data := totals.Packed; len(data) >= entryBytes; data = data[entryBytes:] {
 		left := binary.BigEndian.Uint16(data[8:])
@@ -121,10 +121,10 @@
 	}
 }
 
-// Key stands for a replica's ID in packed backlogs.
+// Key returns the hash of a replica's ID that identifies it in packed backlogs.
 func Key(replica string) uint64 {
 	h := fnv.New64a()
-	// A hash takes every byte.
+	// Write never fails for a hash.
 	_, _ = h.Write([]byte(replica))
 	return h.Sum64()
 }
--- a/src/loadview/backlog_test.go
+++ b/src/loadview/backlog_test.go
@@ -17,11 +17,12 @@
 	return all
 }
 
-// TestABacklogIsWhatWasSentLessTheTimeSince: whoever sent it, and however it was told.
-func TestABacklogIsWhatWasSentLessTheTimeSince(t *testing.T) {
+// TestBacklogIsSentTimeMinusElapsedTime checks it for prompts from any gateway, reported directly
+// or by another control node.
+func TestBacklogIsSentTimeMinusElapsedTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBacklog()
-		now := noon
+		now := baseTime
 		left := map[string]time.Duration{}
 		for range rapid.IntRange(1, 20).Draw(t, "sends") {
 			pause := time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
@@ -32,40 +33,41 @@
 			replica := fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "replica"))
 			prompt := rapid.IntRange(0, 400).Draw(t, "prompt")
 			b.Add(now, []wire.Sent{{Replica: replica, ReadMS: prompt}}, rapid.Bool().Draw(t, "own"))
-			left[replica] = min(left[replica]+time.Duration(prompt)*time.Millisecond, mostBacklog)
+			left[replica] = min(left[replica]+time.Duration(prompt)*time.Millisecond, maxBacklog)
 		}
 		got := unpacked(b, now)
 		for replica, want := range left {
-			if want < leastBacklog {
+			if want < minBacklog {
 				want = 0
 			}
 			if got[Key(replica)] != want {
-				t.Fatalf("%s has %v to read, not %v", replica, got[Key(replica)], want)
+				t.Fatalf("backlog of %s is %v, want %v", replica, got[Key(replica)], want)
 			}
 		}
 	})
 }
 
-// TestOnlyOwnPromptsArePassedOn, once: control nodes would else tell each other for ever.
-func TestOnlyOwnPromptsArePassedOn(t *testing.T) {
+// TestOnlyOwnPromptsAreForwarded guards against control nodes forwarding prompts to each other
+// endlessly.
+func TestOnlyOwnPromptsAreForwarded(t *testing.T) {
 	is := is.New(t)
 	b := NewBacklog()
-	b.Add(noon, []wire.Sent{{Replica: "other", ReadMS: 50}}, false)
+	b.Add(baseTime, []wire.Sent{{Replica: "other", ReadMS: 50}}, false)
 	select {
 	case <-b.Passable():
-		t.Error("there is nothing to pass on")
+		t.Error("there is nothing to forward")
 	default:
 	}
-	b.Add(noon, []wire.Sent{{Replica: "own", ReadMS: 60}}, true)
+	b.Add(baseTime, []wire.Sent{{Replica: "own", ReadMS: 60}}, true)
 	<-b.Passable()
 	is.Equal(b.Own(), []wire.Sent{{Replica: "own", ReadMS: 60}})
 	is.Equal(len(b.Own()), 0)
-	is.Equal(len(unpacked(b, noon)), 2)
+	is.Equal(len(unpacked(b, baseTime)), 2)
 }
 
-// TestWhatAGatewayIsToldOfBacklogsIsBounded: at the size in two years, with every replica
-// reading, all that a gateway is told takes a quarter of a small host's link at most.
-func TestWhatAGatewayIsToldOfBacklogsIsBounded(t *testing.T) {
+// TestBacklogTrafficIsBounded checks that at the size expected in two years, with every replica
+// reading prompts, the backlogs sent to a gateway take at most a quarter of a small host's link.
+func TestBacklogTrafficIsBounded(t *testing.T) {
 	const replicas, linkBytes = 780, 10_000_000 / 8
 	perSecond := replicas * entryBytes * 4 / 3 * int(time.Second/BacklogPause(340, replicas))
 	is.New(t).True(perSecond <= linkBytes/4)
--- a/src/loadview/board.go
+++ b/src/loadview/board.go
@@ -10,88 +10,87 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// reportLife is how long a report or sum counts. A gateway that is silent for longer
-// has ended, is cut off or frozen, and its requests end without it.
-const reportLife = time.Second
+// reportLifetime is how long a report or sum is valid. A gateway that is silent for longer has
+// ended, is cut off or hangs, and its requests end without it.
+const reportLifetime = time.Second
 
-// Board is a control node's collection of what gateways have under way; it is safe
-// for concurrent use.
+// Board collects the requests under way at all gateways, on a control node. It is safe for
+// concurrent use.
 type Board struct {
 	mu       sync.Mutex
-	gateways map[string]told
-	nodes    map[string]told
+	gateways map[string]latestReport
+	nodes    map[string]latestReport
 	changed  wakeup.Flag
 }
 
-// told is the last word of a gateway or control node.
-type told struct {
+// latestReport is the latest report of a gateway or sum of a control node.
+type latestReport struct {
 	loads []wire.ReplicaLoad
 	at    time.Time
-	// tell sends a gateway the totals; nil for control nodes.
-	tell func(wire.LoadReport)
-	// telling is set while a gateway is being told, which may hang: others go on, and
-	// it is told the newest totals once it can be.
-	telling *atomic.Bool
+	// send sends the totals to the gateway; nil for control nodes.
+	send func(wire.LoadReport)
+	// sending is set while totals are being sent to the gateway. A gateway that hangs does not
+	// delay the others, and gets the newest totals once it accepts them.
+	sending *atomic.Bool
 }
 
 // NewBoard returns an empty board.
 func NewBoard() *Board {
-	return &Board{gateways: map[string]told{}, nodes: map[string]told{}, changed: wakeup.New()}
+	return &Board{gateways: map[string]latestReport{}, nodes: map[string]latestReport{}, changed: wakeup.New()}
 }
 
-// Report takes in what a gateway has under way; tell sends it totals.
-func (b *Board) Report(now time.Time, report wire.LoadReport, tell func(wire.LoadReport)) {
+// Report records a gateway's requests under way; send sends totals to that gateway.
+func (b *Board) Report(now time.Time, report wire.LoadReport, send func(wire.LoadReport)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	telling := b.gateways[report.Node].telling
-	if telling == nil {
-		telling = &atomic.Bool{}
+	sending := b.gateways[report.Node].sending
+	if sending == nil {
+		sending = &atomic.Bool{}
 	}
-	b.gateways[report.Node] = told{loads: report.Loads, at: now, tell: tell, telling: telling}
+	b.gateways[report.Node] = latestReport{loads: report.Loads, at: now, send: send, sending: sending}
 	b.changed.Raise()
 }
 
-// Changed delivers when something new was told since it last did.
+// Changed returns a channel that delivers when there were new reports since it last did.
 func (b *Board) Changed() <-chan struct{} { return b.changed.Raised() }
 
-// Round returns the totals over all gateways, the sum over those that report here,
-// and how to tell each of these that is not being told just now; each function is
-// to be called once.
-func (b *Board) Round(now time.Time) (totals, sum wire.LoadReport, tell []func(wire.LoadReport)) {
+// Round returns the totals over all gateways, the sum over the gateways that report to this node,
+// and functions that send totals to these gateways, each to be called once. Gateways that are still
+// being sent earlier totals are left out.
+func (b *Board) Round(now time.Time) (totals, sum wire.LoadReport, send []func(wire.LoadReport)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum.Loads = b.sum(now, b.gateways)
 	totals.Loads = b.sum(now, b.gateways, b.nodes)
-	for _, word := range b.gateways {
-		if word.telling.CompareAndSwap(false, true) {
-			tell = append(tell, func(totals wire.LoadReport) {
-				defer word.telling.Store(false)
-				word.tell(totals)
+	for _, report := range b.gateways {
+		if report.sending.CompareAndSwap(false, true) {
+			send = append(send, func(totals wire.LoadReport) {
+				defer report.sending.Store(false)
+				report.send(totals)
 			})
 		}
 	}
-	return totals, sum, tell
+	return totals, sum, send
 }
 
-// TakeSum takes in another control node's sum over the gateways that report to it.
+// TakeSum records another control node's sum over the gateways that report to it.
 func (b *Board) TakeSum(now time.Time, sum wire.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.nodes[sum.Node] = told{loads: sum.Loads, at: now}
+	b.nodes[sum.Node] = latestReport{loads: sum.Loads, at: now}
 	b.changed.Raise()
 }
 
-// sum adds up all that is young enough, by replica, and forgets the rest; the lock
-// is held.
-func (b *Board) sum(now time.Time, sources ...map[string]told) []wire.ReplicaLoad {
+// sum adds up the valid reports by replica and removes expired ones. The caller holds the lock.
+func (b *Board) sum(now time.Time, sources ...map[string]latestReport) []wire.ReplicaLoad {
 	total := map[string]wire.ReplicaLoad{}
 	for _, source := range sources {
-		for name, word := range source {
-			if now.Sub(word.at) > reportLife {
+		for name, report := range source {
+			if now.Sub(report.at) > reportLifetime {
 				delete(source, name)
 				continue
 			}
-			for _, load := range word.loads {
+			for _, load := range report.loads {
 				all := total[load.Replica]
 				all.Replica = load.Replica
 				all.Running += load.Running
--- a/src/loadview/board_test.go
+++ b/src/loadview/board_test.go
@@ -11,7 +11,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-var noon = time.Unix(1_800_000_000, 0)
+var baseTime = time.Unix(1_800_000_000, 0)
 
 func drop(wire.LoadReport) {}
 
@@ -19,8 +19,8 @@
 	return wire.LoadReport{Node: node, Loads: []wire.ReplicaLoad{{Replica: replica, Running: running, UnreadMS: unread}}}
 }
 
-// TestTotalsAreTheSumOfTheNewestReports: over any order of reports and sums, each
-// gateway counts once, with its last word.
+// TestTotalsAreTheSumOfTheNewestReports checks that each gateway counts once, with its latest
+// report, for any order of reports and sums.
 func TestTotalsAreTheSumOfTheNewestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBoard()
@@ -31,9 +31,9 @@
 			if rapid.Bool().Draw(t, "a control node") {
 				node = "control " + node
 				said.Node = node
-				b.TakeSum(noon, said)
+				b.TakeSum(baseTime, said)
 			} else {
-				b.Report(noon, said, drop)
+				b.Report(baseTime, said, drop)
 			}
 			last[node] = said.Loads[0]
 		}
@@ -42,9 +42,9 @@
 			want.Running += load.Running
 			want.UnreadMS += load.UnreadMS
 		}
-		totals, _, _ := b.Round(noon)
+		totals, _, _ := b.Round(baseTime)
 		if len(totals.Loads) != 1 || totals.Loads[0] != want {
-			t.Fatalf("the totals are %+v, not %+v", totals.Loads, want)
+			t.Fatalf("totals %+v, want %+v", totals.Loads, want)
 		}
 	})
 }
@@ -52,52 +52,52 @@
 func TestSumsLeaveOutWhatOtherControlNodesTold(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard()
-	b.Report(noon, report("gateway", "r", 2, 30), drop)
-	b.TakeSum(noon, report("control", "r", 5, 70))
-	totals, sum, _ := b.Round(noon)
+	b.Report(baseTime, report("gateway", "r", 2, 30), drop)
+	b.TakeSum(baseTime, report("control", "r", 5, 70))
+	totals, sum, _ := b.Round(baseTime)
 	is.Equal(totals.Loads, []wire.ReplicaLoad{{Replica: "r", Running: 7, UnreadMS: 100}})
 	is.Equal(sum.Loads, []wire.ReplicaLoad{{Replica: "r", Running: 2, UnreadMS: 30}})
 }
 
-// TestTheWordOfASilentGatewayEnds: one that is frozen or cut off would else hold
-// its replicas loaded for good.
+// TestTheWordOfASilentGatewayEnds guards against a gateway that hangs or is cut off making its
+// replicas look busy forever.
 func TestTheWordOfASilentGatewayEnds(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard()
-	b.Report(noon, report("gateway", "r", 2, 30), drop)
-	b.TakeSum(noon, report("control", "q", 5, 70))
-	totals, _, tell := b.Round(noon.Add(reportLife + 1))
+	b.Report(baseTime, report("gateway", "r", 2, 30), drop)
+	b.TakeSum(baseTime, report("control", "q", 5, 70))
+	totals, _, tell := b.Round(baseTime.Add(reportLifetime + 1))
 	is.Equal(len(totals.Loads), 0)
 	is.Equal(len(tell), 0)
 }
 
-// TestAGatewayThatHangsIsToldOnceAtATime: rounds go on without it.
+// TestAGatewayThatHangsIsToldOnceAtATime checks that rounds go on without such a gateway.
 func TestAGatewayThatHangsIsToldOnceAtATime(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard()
-	b.Report(noon, report("hangs", "r", 1, 1), drop)
-	b.Report(noon, report("sound", "r", 1, 1), drop)
-	_, _, first := b.Round(noon)
+	b.Report(baseTime, report("hangs", "r", 1, 1), drop)
+	b.Report(baseTime, report("sound", "r", 1, 1), drop)
+	_, _, first := b.Round(baseTime)
 	is.Equal(len(first), 2)
-	b.Report(noon, report("hangs", "r", 2, 2), drop)
-	_, _, second := b.Round(noon)
+	b.Report(baseTime, report("hangs", "r", 2, 2), drop)
+	_, _, second := b.Round(baseTime)
 	is.Equal(len(second), 0) // neither call has returned
 	first[0](wire.LoadReport{})
-	_, _, third := b.Round(noon)
+	_, _, third := b.Round(baseTime)
 	is.Equal(len(third), 1)
 }
 
-// TestWhatAllAreToldIsBounded: however many gateways and replicas there are, all
-// gateways together are told of so many entries a second at most, as long as totals are
-// not older than they may be; and a report does not end before the next.
+// TestWhatAllAreToldIsBounded checks that at any size, the entries sent to all gateways per second
+// are bounded unless totals would become too old, and that a report does not expire before the next
+// one.
 func TestWhatAllAreToldIsBounded(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []struct{ gateways, replicas int }{{1, 1}, {7, 15}, {9, 21}, {62, 93}, {89, 145}, {340, 780}} {
 		pause := Pause(size.gateways, size.replicas)
 		entries := int64(size.gateways*size.replicas) * int64(time.Second) / int64(pause)
-		is.True(entries <= entriesPerSecond || pause == longestPause)
+		is.True(entries <= entriesPerSecond || pause == maxInterval)
 		is.True(Interval(size.gateways, size.replicas) >= pause)
-		is.True(Interval(size.gateways, size.replicas) < reportLife)
+		is.True(Interval(size.gateways, size.replicas) < reportLifetime)
 	}
-	is.Equal(Pause(7, 15), shortestPause) // a small installation has what is newest
+	is.Equal(Pause(7, 15), minInterval) // a small installation gets the newest totals
 }
--- a/src/loadview/doc.go
+++ b/src/loadview/doc.go
@@ -1,11 +1,11 @@
-// Package loadview lets every gateway see what all gateways together have sent to a
-// replica. Replicas need not tell their load, and a gateway by itself sees only its
-// own share of it: a seventh of a small installation, a sixtieth of a large one.
+// Package loadview gives every gateway a view of the requests that all gateways together have sent
+// to each replica. Replicas need not report their load, and a gateway alone sees only its own share
+// of it: a seventh in a small installation, a sixtieth in a large one.
 //
 //	gateway ── report ──▶ control node of its zone ◀── sums ──▶ other control nodes
 //	        ◀─ totals ──
 //
-// A gateway reports its requests under way by replica and is answered with the
-// totals over all gateways. Control nodes tell each other the sums over the gateways
-// that report to them. Nothing is stored; what is older than a second is left out.
+// A gateway reports its requests under way per replica and receives the totals over all gateways.
+// Control nodes exchange the sums over the gateways that report to them. Nothing is stored; reports
+// older than a second are ignored.
 package loadview
--- a/src/loadview/sums.go
+++ b/src/loadview/sums.go
@@ -7,21 +7,20 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// repeatAfter is when a sum is told again that has not changed, so that it does not
-// cease to count.
-const repeatAfter = reportLife / 3
+// resendAfter is when an unchanged sum is sent again, so that it does not expire.
+const resendAfter = reportLifetime / 3
 
-// Sums remembers what the other control nodes were told last; it is used by one goroutine.
+// Sums tracks the sum last sent to the other control nodes. It is not safe for concurrent use.
 type Sums struct {
-	told []wire.ReplicaLoad
+	sent []wire.ReplicaLoad
 	at   time.Time
 }
 
-// Due reports whether a sum is to be told now, and then takes it as told.
+// Due reports whether a sum must be sent now, and if so records it as sent.
 func (s *Sums) Due(now time.Time, sum []wire.ReplicaLoad) bool {
-	if slices.Equal(sum, s.told) && (len(sum) == 0 || now.Sub(s.at) < repeatAfter) {
+	if slices.Equal(sum, s.sent) && (len(sum) == 0 || now.Sub(s.at) < resendAfter) {
 		return false
 	}
-	s.told, s.at = sum, now
+	s.sent, s.at = sum, now
 	return true
 }
--- a/src/loadview/sums_test.go
+++ b/src/loadview/sums_test.go
@@ -8,15 +8,16 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestASumThatDoesNotChangeGoesOnCounting: it is told again before others drop it.
+// TestASumThatDoesNotChangeGoesOnCounting checks that an unchanged sum is sent again before it
+// expires.
 func TestASumThatDoesNotChangeGoesOnCounting(t *testing.T) {
 	is := is.New(t)
 	sum := []wire.ReplicaLoad{{Replica: "r", Running: 3}}
 	var s Sums
-	is.True(s.Due(noon, sum))
-	is.True(!s.Due(noon.Add(repeatAfter-1), sum))
-	is.True(s.Due(noon.Add(repeatAfter), sum))
-	is.True(repeatAfter < reportLife)
-	is.True(s.Due(noon.Add(repeatAfter), nil)) // that there is nothing any more
-	is.True(!s.Due(noon.Add(2*reportLife), nil))
+	is.True(s.Due(baseTime, sum))
+	is.True(!s.Due(baseTime.Add(resendAfter-1), sum))
+	is.True(s.Due(baseTime.Add(resendAfter), sum))
+	is.True(resendAfter < reportLifetime)
+	is.True(s.Due(baseTime.Add(resendAfter), nil)) // an empty sum after a nonempty one
+	is.True(!s.Due(baseTime.Add(2*reportLifetime), nil))
 }
--- a/src/member/doc.go
+++ b/src/member/doc.go
@@ -1,3 +1,3 @@
-// Package member decides each backend server's standing from three sources that
-// may disagree: the platform's list, the host's own word, and whether it answers.
+// Package member determines the state of each backend server from three sources that may disagree:
+// the platform's list of hosts, the host's own announcements, and whether it answers health checks.
 package member
--- a/src/member/host_test.go
+++ b/src/member/host_test.go
@@ -12,50 +12,50 @@
 
 func init() { testseed.Fix() }
 
-var noon = time.Unix(1_800_000_000, 0)
+var baseTime = time.Unix(1_800_000_000, 0)
 
 func TestAHostIsLiveOnceItAnswers(t *testing.T) {
 	is := is.New(t)
-	h := New(noon)
+	h := New(baseTime)
 	is.Equal(h.State(), Joining)
-	h.Answered(false, noon)
+	h.Answered(false, baseTime)
 	is.Equal(h.State(), Live)
-	h.Tick(noon.Add(SuspectAfter + 1))
+	h.Tick(baseTime.Add(SuspectAfter + 1))
 	is.Equal(h.State(), Suspect)
-	h.Answered(false, noon.Add(2*SuspectAfter)) // falsely suspected: back without harm
+	h.Answered(false, baseTime.Add(2*SuspectAfter)) // wrongly suspected, live again
 	is.Equal(h.State(), Live)
 }
 
-func TestTheEarliestWordThatAHostLeavesCounts(t *testing.T) {
+func TestEitherSourceCanMarkAHostLeaving(t *testing.T) {
 	is := is.New(t)
-	own := New(noon)
-	own.Answered(false, noon)
-	own.Answered(true, noon) // its own word, while the list still has it live
+	own := New(baseTime)
+	own.Answered(false, baseTime)
+	own.Answered(true, baseTime) // announced by the host while the list shows it as running
 	is.Equal(own.State(), Leaving)
-	own.Listed(false, noon) // the lagging list can't bring it back
+	own.Listed(false, baseTime) // the outdated list can't make it live again
 	is.Equal(own.State(), Leaving)
-	listed := New(noon)
-	listed.Answered(false, noon)
-	listed.Listed(true, noon)
-	listed.Answered(false, noon)
+	listed := New(baseTime)
+	listed.Answered(false, baseTime)
+	listed.Listed(true, baseTime)
+	listed.Answered(false, baseTime)
 	is.Equal(listed.State(), Leaving)
 }
 
-func TestAListWithoutAHostThatAnswersIsNotBelieved(t *testing.T) {
+func TestUnlistedHostThatAnswersStaysLive(t *testing.T) {
 	is := is.New(t)
-	h := New(noon)
-	h.Answered(false, noon)
-	h.Unlisted(noon)
+	h := New(baseTime)
+	h.Answered(false, baseTime)
+	h.Unlisted(baseTime)
 	is.Equal(h.State(), Live)
-	h.Tick(noon.Add(GoneAfter + 1))
+	h.Tick(baseTime.Add(GoneAfter + 1))
 	is.Equal(h.State(), Gone)
 }
 
-// TestLeavingIsNeverLive feeds any order of words: as long as one of them says
-// that the host leaves, it is never live, and no order of words is an error.
+// TestLeavingIsNeverLive applies events in any order: a host is never live while the list or the
+// host itself says that it is leaving, and no order causes an error.
 func TestLeavingIsNeverLive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, now := New(noon), noon
+		h, now := New(baseTime), baseTime
 		listedLeaving, ownLeaving := false, false
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
--- a/src/registry/builds_test.go
+++ b/src/registry/builds_test.go
@@ -10,11 +10,11 @@
 	"github.com/matryer/is"
 )
 
-// The builds whose bytes are kept, by the commits that wrote them. Each folder under testdata holds
-// one standing as a message and one record as on a disk.
+// builds are the builds whose encodings are kept, by the commits that wrote them. Each folder under
+// testdata holds a standing as sent in a message and a record as stored on disk.
 var builds = []struct {
 	commit string
-	// starts is set where the build tells starts of one name apart.
+	// starts is set if the build distinguishes starts of one name.
 	starts bool
 }{
 	{"0cfbef2", false},
@@ -22,11 +22,11 @@
 	{latestBuild, true},
 }
 
-// latestBuild is the one whose bytes today's are the same as.
+// latestBuild is the build whose encoding equals the current one.
 const latestBuild = "595d13f"
 
-// written is the record of all kept bytes; builds without starts left Name and Born out.
-func written() Record {
+// storedRecord returns the record in all kept files. Builds without starts leave out Name and Born.
+func storedRecord() Record {
 	return Record{
 		ID: "i-1@1800000000123", Name: "i-1", Born: 1_800_000_000_123, Service: "s", Address: "192.0.2.1:8080", Zone: "z", Version: "v1",
 		Slots: 8, Sequence: 41, Draining: true, RemainingMS: 2000, ColdMS: 300, Stage: "both",
@@ -34,8 +34,8 @@
 	}
 }
 
-// bytesOf returns what a build wrote.
-func bytesOf(t *testing.T, commit, file string) []byte {
+// readBuildFile returns a file that a build wrote.
+func readBuildFile(t *testing.T, commit, file string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "builds", commit, file))
 	if err != nil {
@@ -44,34 +44,34 @@
 	return data
 }
 
-// TestBytesOfEarlierBuildsAreRead: an earlier build's message and disk name the same replica, and
-// its start as far as that build knew it.
-func TestBytesOfEarlierBuildsAreRead(t *testing.T) {
+// TestEncodingsOfEarlierBuildsAreRead checks that messages and stored records of earlier builds
+// decode to the same replica, with its start as far as the build knew it.
+func TestEncodingsOfEarlierBuildsAreRead(t *testing.T) {
 	for _, build := range builds {
 		t.Run(build.commit, func(t *testing.T) {
 			is := is.New(t)
-			want := written()
+			want := storedRecord()
 			if !build.starts {
 				want.ID, want.Name, want.Born = "i-1", "", 0
 			}
 			var standing Standing
-			is.NoErr(json.Unmarshal(bytesOf(t, build.commit, "standing.json"), &standing))
+			is.NoErr(json.Unmarshal(readBuildFile(t, build.commit, "standing.json"), &standing))
 			is.Equal(standing, Standing{Record: want, Recalled: true})
 			var record Record
-			is.NoErr(cbor.Unmarshal(bytesOf(t, build.commit, "record.cbor"), &record))
+			is.NoErr(cbor.Unmarshal(readBuildFile(t, build.commit, "record.cbor"), &record))
 			is.Equal(record, want)
 		})
 	}
 }
 
-// TestTodaysBytesAreThoseOfTheLatestBuild, so that it reads them as its own: a field that is
-// renamed, renumbered or added shows here, and wants a thought of what older builds do with it.
-func TestTodaysBytesAreThoseOfTheLatestBuild(t *testing.T) {
+// TestEncodingMatchesTheLatestBuild shows when a field is renamed, renumbered or added; then check
+// what older builds do with the new encoding.
+func TestEncodingMatchesTheLatestBuild(t *testing.T) {
 	is := is.New(t)
-	message, err := json.Marshal(Standing{Record: written(), Recalled: true})
+	message, err := json.Marshal(Standing{Record: storedRecord(), Recalled: true})
 	is.NoErr(err)
-	is.Equal(string(message), string(bytesOf(t, latestBuild, "standing.json")))
-	disk, err := cbor.Marshal(written())
+	is.Equal(string(message), string(readBuildFile(t, latestBuild, "standing.json")))
+	disk, err := cbor.Marshal(storedRecord())
 	is.NoErr(err)
-	is.Equal(disk, bytesOf(t, latestBuild, "record.cbor"))
+	is.Equal(disk, readBuildFile(t, latestBuild, "record.cbor"))
 }
--- a/src/registry/directory.go
+++ b/src/registry/directory.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// Entry is a replica as the nodes together see it.
+// Entry is a replica in the merged view of several nodes.
 type Entry struct {
 	Record Record
-	// Silent is set when no node in reach heard the replica lately.
+	// Silent is set when no connected node has had a recent heartbeat of the replica.
 	Silent bool
-	// Replaced is set when a later incarnation took the replica's address.
+	// Replaced is set when a later incarnation has taken over the replica's address.
 	Replaced bool
 	// FirstSeen is when this process learned of the replica.
 	FirstSeen time.Time
 }
 
-// Changes are the replicas that are not as they were told of before.
+// Changes are the replicas that changed since the previous call of Directory.Changes.
 type Changes struct {
-	// Entries are the replicas that are new or have changed, in the order in which
-	// they were learned of.
+	// Entries are new and changed replicas, in the order in which the directory learned of them.
 	Entries []Entry
-	// Removed are the IDs of replicas that are forgotten.
+	// Removed are the IDs of replicas that were removed.
 	Removed []string
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether nothing has changed.
 func (c *Changes) Empty() bool { return len(c.Entries) == 0 && len(c.Removed) == 0 }
 
 // Usable reports whether the replica may get new requests.
@@ -33,79 +32,80 @@
 	return !e.Record.Leaving() && !e.Silent && !e.Replaced
 }
 
+// entry is the directory's state of one replica.
 type entry struct {
 	record   Record
-	views    map[string]bool // silent, by source
+	silentBy map[string]bool // silent, by source
 	replaced bool
-	// contested is set once another incarnation was told of at the same address.
+	// contested is set once another incarnation was reported at the same address.
 	contested bool
-	// doubtful is set until a source is sure that the replica is there.
-	doubtful  bool
-	firstSeen time.Time
-	order     uint64
-	unseenAt  time.Time
-	// stamp is that of the last change that matters to requests.
+	// unconfirmed is set until a source reports the replica as neither silent nor recalled.
+	unconfirmed bool
+	firstSeen   time.Time
+	order       uint64
+	reportedAt  time.Time
+	// stamp is that of the last change that affects routing.
 	stamp uint64
-	// silence is what silent said at that change.
-	silence bool
+	// markedSilent is the value of silent() at that change.
+	markedSilent bool
 }
 
-// Directory merges what several nodes tell. Every change that matters to requests gets
-// a stamp that grows, so that gateways can be told of it. It is not safe for concurrent
+// Directory merges the reports of several nodes. Each change that affects routing gets an
+// increasing stamp, by which gateways are sent what changed. A Directory is not safe for concurrent
 // use.
 type Directory struct {
 	forget  time.Duration
 	entries map[string]*entry
 	order   uint64
 	stamp   uint64
-	// follows is set once a source told who owns an address: it has merged the words of
-	// several nodes and decides.
-	follows bool
-	// changed and removed are the IDs of the replicas that Changes has not returned.
+	// sourceDecides is set once a source has reported who owns an address: that source has a merged
+	// view itself, and its decisions are adopted.
+	sourceDecides bool
+	// changed and removed are the IDs of the replicas that Changes has not returned yet.
 	changed map[string]bool
 	removed []string
 }
 
-// NewDirectory returns an empty directory; forget is how long a replica that no
-// node mentions or that is gone is remembered.
+// NewDirectory returns an empty directory. A replica that is silent or leaving is removed once no
+// node has reported it for the duration forget.
 func NewDirectory(forget time.Duration) *Directory {
 	return &Directory{forget: forget, entries: map[string]*entry{}, changed: map[string]bool{}}
 }
 
-// Stamp returns the stamp of the newest change that matters to requests.
+// Stamp returns the stamp of the newest change that affects routing.
 func (d *Directory) Stamp() uint64 { return d.stamp }
 
-// Take merges standings that a source told.
-func (d *Directory) Take(now time.Time, source string, standings []Standing) {
+// Apply merges standings reported by a source.
+func (d *Directory) Apply(now time.Time, source string, standings []Standing) {
 	for i := range standings {
-		d.take(now, source, standings[i])
+		d.apply(now, source, standings[i])
 	}
 }
 
-func (d *Directory) take(now time.Time, source string, s Standing) {
+func (d *Directory) apply(now time.Time, source string, s Standing) {
 	known := d.entries[s.Record.ID]
 	if known == nil {
 		known = d.add(now, s)
 	} else {
 		d.merge(known, s)
 	}
-	d.follows = d.follows || s.Owner || s.Replaced
+	d.sourceDecides = d.sourceDecides || s.Owner || s.Replaced
 	if s.Owner {
-		d.give(known)
+		d.setOwner(known)
 	}
-	known.views[source] = s.Silent
-	known.unseenAt = now
-	if known.doubtful && !s.doubtful() {
-		known.doubtful = false
+	known.silentBy[source] = s.Silent
+	known.reportedAt = now
+	if known.unconfirmed && !s.unconfirmed() {
+		known.unconfirmed = false
 		d.mark(known)
 	}
-	d.markSilence(known)
+	d.updateSilence(known)
 }
 
-// add takes in a replica that was not known.
+// add adds a replica that was not known.
 func (d *Directory) add(now time.Time, s Standing) *entry {
 	d.order++
-	added := &entry{record: s.Record, views: map[string]bool{}, replaced: s.Replaced, doubtful: s.doubtful(), firstSeen: now, order: d.order}
+	added := &entry{record: s.Record, silentBy: map[string]bool{}, replaced: s.Replaced, unconfirmed: s.unconfirmed(), firstSeen: now, order: d.order}
 	d.entries[s.Record.ID] = added
 	if !s.Owner {
 		d.replaceEarlier(added)
@@ -114,18 +114,18 @@
 	return added
 }
 
-// merge takes in a source's word on a replica that is known.
+// merge updates a known replica with a source's report.
 func (d *Directory) merge(known *entry, s Standing) {
 	before, replaced := known.record, known.replaced
 	if s.Record.Sequence > known.record.Sequence {
-		known.record.supersede(s.Record)
+		known.record.update(s.Record)
 	} else {
 		known.record.Draining = known.record.Draining || s.Record.Draining
 		known.record.Gone = known.record.Gone || s.Record.Gone
 	}
 	known.replaced = known.replaced || s.Replaced
 	switch {
-	case replaced != known.replaced || !sameForRequests(&before, &known.record):
+	case replaced != known.replaced || !sameRouting(&before, &known.record):
 		d.mark(known)
 	case before.Sequence != known.record.Sequence:
 		d.changed[known.record.ID] = true
@@ -138,94 +138,94 @@
 	d.changed[e.record.ID] = true
 }
 
-// markSilence marks a replica that has fallen silent or is heard again.
-func (d *Directory) markSilence(e *entry) {
+// updateSilence marks a replica that has become silent or is heard again.
+func (d *Directory) updateSilence(e *entry) {
 	silent := e.silent()
-	if silent == e.silence {
+	if silent == e.markedSilent {
 		return
 	}
-	e.silence = silent
+	e.markedSilent = silent
 	d.mark(e)
-	if d.follows {
+	if d.sourceDecides {
 		return
 	}
 	if silent {
-		d.restore(e)
+		d.reassign(e)
 		return
 	}
 	d.reclaim(e)
 }
 
-// restore gives the place of a replica that has fallen silent to another start that goes on
-// calling, if there is one: a late call of an ended start may be heard last, or a host's time of
-// day may have been set back, and no request would be sent to that place any more.
-func (d *Directory) restore(silent *entry) {
+// reassign gives the address and name of a replica that has become silent to another start that
+// still sends heartbeats, if there is one. Otherwise they would get no requests any more after a
+// late heartbeat of an ended start was processed last, or after a host's clock was set back.
+func (d *Directory) reassign(silent *entry) {
 	var latest *entry
 	for _, e := range d.entries {
 		switch {
-		case e == silent || e.silence || !e.record.excludes(&silent.record):
+		case e == silent || e.markedSilent || !e.record.conflictsWith(&silent.record):
 		case !e.replaced:
 			return
 		case e.record.Leaving():
-		case latest == nil || latest.record.precedes(&e.record) || !e.record.precedes(&latest.record) && e.order > latest.order:
+		case latest == nil || latest.record.startedBefore(&e.record) || !e.record.startedBefore(&latest.record) && e.order > latest.order:
 			latest = e
 		}
 	}
 	if latest != nil {
-		d.give(latest)
+		d.setOwner(latest)
 	}
 }
 
-// reclaim gives a replica that is heard again its place back if an earlier start has it.
+// reclaim makes a replica that is heard again the owner of its address if an earlier start owns it.
 func (d *Directory) reclaim(heard *entry) {
 	if !heard.replaced || heard.record.Leaving() {
 		return
 	}
 	earlier := false
 	for _, e := range d.entries {
-		if e == heard || e.replaced || !e.record.excludes(&heard.record) {
+		if e == heard || e.replaced || !e.record.conflictsWith(&heard.record) {
 			continue
 		}
-		if !e.record.precedes(&heard.record) {
+		if !e.record.startedBefore(&heard.record) {
 			return
 		}
 		earlier = true
 	}
 	if earlier {
-		d.give(heard)
+		d.setOwner(heard)
 	}
 }
 
-// give makes a replica the one that has its address and its name.
-func (d *Directory) give(owner *entry) {
+// setOwner makes a replica the owner of its address and name.
+func (d *Directory) setOwner(owner *entry) {
 	owner.contested = true
 	if owner.replaced {
 		owner.replaced = false
 		d.mark(owner)
 	}
 	for _, other := range d.entries {
-		if other != owner && !other.replaced && other.record.excludes(&owner.record) {
+		if other != owner && !other.replaced && other.record.conflictsWith(&owner.record) {
 			other.replaced = true
 			d.mark(other)
 		}
 	}
 }
 
-// replaceEarlier marks earlier starts at the address or under the name of one that was just
-// learned of: by what they say of their starts, else the one that appeared last is the later
-// one. One that no source is sure of does not take the place of one that was heard of: it is the
-// earlier one, told of later. One that was replaced before has no place to lose or to keep.
+// replaceEarlier resolves conflicts of a newly learned replica over its address or name. The later
+// start wins, by the reported start times, else the one that appeared last. An unconfirmed replica
+// does not replace a confirmed one: it is an earlier start that was reported later. A replica that
+// is already replaced takes part in no conflict.
 func (d *Directory) replaceEarlier(latest *entry) {
 	if latest.replaced {
 		return
 	}
 	for _, other := range d.entries {
-		if other == latest || other.replaced || !other.record.excludes(&latest.record) {
+		if other == latest || other.replaced || !other.record.conflictsWith(&latest.record) {
 			continue
 		}
 		latest.contested = true
-		later := other.record.precedes(&latest.record)
-		if latest.record.precedes(&other.record) || !later && latest.doubtful && !other.doubtful {
+		later := other.record.startedBefore(&latest.record)
+		if latest.record.startedBefore(&other.record) || !later && latest.unconfirmed && !other.unconfirmed {
 			latest.replaced = true
 			other.contested = true
 			d.mark(other)
@@ -236,35 +236,35 @@
 	}
 }
 
-// Lose forgets what a source told of silence. The replicas it alone vouched for
-// stay as they are until another source or Sweep says otherwise.
-func (d *Directory) Lose(now time.Time, source string) {
+// RemoveSource drops a source's reports of silence. Replicas that only this source reported as
+// running keep their state until another source or Sweep changes it.
+func (d *Directory) RemoveSource(now time.Time, source string) {
 	for _, known := range d.entries {
-		silent, told := known.views[source]
-		if !told {
+		silent, reported := known.silentBy[source]
+		if !reported {
 			continue
 		}
-		delete(known.views, source)
-		if len(known.views) == 0 && !silent {
-			// Nobody else speaks of it: keep the last word, as from the lost source.
-			known.views[lostSource] = false
-			known.unseenAt = now
+		delete(known.silentBy, source)
+		if len(known.silentBy) == 0 && !silent {
+			// No other source reports the replica: keep its last state under lostSource.
+			known.silentBy[lostSource] = false
+			known.reportedAt = now
 		}
-		d.markSilence(known)
+		d.updateSilence(known)
 	}
 }
 
-// lostSource stands for sources that are gone.
+// lostSource stands for all sources that were removed.
 const lostSource = ""
 
-// Sweep forgets replicas that are gone or unheard of. While nodes are in reach
-// it trusts the word of lost ones for a while only; with none it keeps to it.
+// Sweep removes old replicas that are leaving or silent. Reports of lost sources are trusted for
+// the duration trust while other nodes are connected, and indefinitely while none is.
 func (d *Directory) Sweep(now time.Time, trust time.Duration, inReach bool) {
 	for id, known := range d.entries {
-		age := now.Sub(known.unseenAt)
-		if silent, found := known.views[lostSource]; found && !silent && inReach && age > trust {
-			known.views[lostSource] = true
-			d.markSilence(known)
+		age := now.Sub(known.reportedAt)
+		if silent, found := known.silentBy[lostSource]; found && !silent && inReach && age > trust {
+			known.silentBy[lostSource] = true
+			d.updateSilence(known)
 		}
 		if age > d.forget && (known.record.Leaving() || known.silent()) {
 			delete(d.entries, id)
@@ -275,7 +275,7 @@
 }
 
 func (e *entry) silent() bool {
-	for _, silent := range e.views {
+	for _, silent := range e.silentBy {
 		if !silent {
 			return false
 		}
@@ -283,11 +283,11 @@
 	return true
 }
 
-func (e *entry) told() Entry {
+func (e *entry) export() Entry {
 	return Entry{Record: e.record, Silent: e.silent(), Replaced: e.replaced, FirstSeen: e.firstSeen}
 }
 
-// Changes returns what has changed since the last call.
+// Changes returns what has changed since the previous call.
 func (d *Directory) Changes() Changes {
 	changes := Changes{Removed: d.removed}
 	changed := make([]*entry, 0, len(d.changed))
@@ -296,16 +296,15 @@
 	}
 	sort.Slice(changed, func(i, j int) bool { return changed[i].order < changed[j].order })
 	for _, e := range changed {
-		changes.Entries = append(changes.Entries, e.told())
+		changes.Entries = append(changes.Entries, e.export())
 	}
 	clear(d.changed)
 	d.removed = nil
 	return changes
 }
 
-// Since returns what requests need to know of the replicas that changed after a stamp.
-// The order is that in which the replicas were learned of: of two at one address the
-// later one has it.
+// Since returns the routing records of the replicas that changed after a stamp, in the order in
+// which the directory learned of them: of two at one address the later one owns it.
 func (d *Directory) Since(stamp uint64) []Standing {
 	var changed []*entry
 	for _, known := range d.entries {
@@ -317,16 +316,16 @@
 	standings := make([]Standing, 0, len(changed))
 	for _, e := range changed {
 		silent := e.silent()
-		standings = append(standings, Standing{Record: e.record.forRequests(), Silent: silent, Recalled: e.doubtful && !silent, Replaced: e.replaced, Owner: e.contested && !e.replaced})
+		standings = append(standings, Standing{Record: e.record.routingRecord(), Silent: silent, Recalled: e.unconfirmed && !silent, Replaced: e.replaced, Owner: e.contested && !e.replaced})
 	}
 	return standings
 }
 
-// Entries returns all replicas, by ID.
+// Entries returns all replicas, sorted by ID.
 func (d *Directory) Entries() []Entry {
 	all := make([]Entry, 0, len(d.entries))
 	for _, known := range d.entries {
-		all = append(all, known.told())
+		all = append(all, known.export())
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Record.ID < all[j].Record.ID })
 	return all
--- a/src/registry/doc.go
+++ b/src/registry/doc.go
@@ -1,5 +1,4 @@
-// Package registry keeps what replicas say of themselves: which run, where,
-// what they hold, and which are leaving. A Table holds what one control node was
-// told; a Directory merges the tables of several nodes. Both are pure: the
-// present time goes in as an argument.
+// Package registry tracks the replicas: which ones run, where, which models they hold, and which of
+// them are leaving. A Table holds what replicas reported to one control node; a Directory merges
+// the tables of several nodes. Neither reads a clock: the current time is an argument.
 package registry
--- a/src/registry/incarnation_test.go
+++ b/src/registry/incarnation_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-var dawn = time.Unix(1_800_000_000, 0)
+var testStart = time.Unix(1_800_000_000, 0)
 
-// said is a replica's call of one start.
-func said(name string, born int64, sequence uint64, address string) Record {
+// heartbeat returns a heartbeat of one start of a replica.
+func heartbeat(name string, born int64, sequence uint64, address string) Record {
 	incarnation := Incarnation{Name: name, Born: born}
 	return Record{ID: incarnation.ID(), Name: name, Born: born, Service: "s", Address: address, Sequence: sequence}
 }
 
-// usedStarts returns the starts of a name that may get requests.
-func usedStarts(d *Directory, name string) []int64 {
+// usableStarts returns the starts of a name that may get requests.
+func usableStarts(d *Directory, name string) []int64 {
 	var born []int64
 	for _, e := range d.Entries() {
 		if e.Record.ReplicaName() == name && e.Usable() {
@@ -28,21 +28,22 @@
 	return born
 }
 
-// TestOnlyTheLatestStartIsUsed: whatever nodes hear of earlier starts, in whatever order and
-// however late: once the latest start of a replica was heard of, it alone gets requests, with what
-// it says itself; and that an earlier one drained or ended takes it out on no node.
+// TestOnlyTheLatestStartIsUsed checks that once the latest start of a replica is known, it alone
+// gets requests, with the models that it reports itself. Heartbeats of earlier starts change that
+// in no order and at no delay, and the drain or end of an earlier start takes the latest one out on
+// no node.
 func TestOnlyTheLatestStartIsUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := Times{Silence: 5 * time.Second, Forget: time.Minute}
 		tables := []*Table{NewTable(times), NewTable(times)}
 		control, gateway := NewDirectory(time.Minute), NewDirectory(time.Minute)
-		now, told, stamps := dawn, uint64(0), make([]uint64, len(tables))
+		now, told, stamps := testStart, uint64(0), make([]uint64, len(tables))
 		spread := func() {
 			for i, table := range tables {
-				control.Take(now, fmt.Sprint("node-", i), table.Since(stamps[i]))
+				control.Apply(now, fmt.Sprint("node-", i), table.Since(stamps[i]))
 				stamps[i] = table.Stamp()
 			}
-			gateway.Take(now, "control", control.Since(told))
+			gateway.Apply(now, "control", control.Since(told))
 			told = control.Stamp()
 		}
 		latest := int64(rapid.IntRange(2, 4).Draw(t, "starts"))
@@ -50,8 +51,8 @@
 		drained := map[int64]bool{}
 		call := func(born int64, node int) {
 			sequence[born]++
-			address := fmt.Sprint("a:", born%2) // starts share addresses
-			record := said("i", born, sequence[born], address)
+			address := fmt.Sprint("a:", born%2) // different starts share addresses
+			record := heartbeat("i", born, sequence[born], address)
 			record.Draining = drained[born]
 			record.Models = []Held{{Name: fmt.Sprint("of-", born)}}
 			tables[node].Hear(now, record)
@@ -78,61 +79,63 @@
 		call(latest, 0)
 		spread()
 		for _, d := range []*Directory{control, gateway} {
-			if born := usedStarts(d, "i"); len(born) != 1 || born[0] != latest {
-				t.Fatalf("starts %v are used and not %d alone", born, latest)
+			if born := usableStarts(d, "i"); len(born) != 1 || born[0] != latest {
+				t.Fatalf("starts %v are usable, want %d alone", born, latest)
 			}
 			for _, e := range d.Entries() {
 				if e.Record.Born == latest && !e.Record.Holds(fmt.Sprint("of-", latest), "") {
-					t.Fatalf("the latest start is believed to hold %v", e.Record.Models)
+					t.Fatalf("the latest start has the models %v", e.Record.Models)
 				}
 			}
 		}
 	})
 }
 
-// TestAWordOfAnEndIsAboutTheStartThatLeaves: it does not say when the replica started.
-func TestAWordOfAnEndIsAboutTheStartThatLeaves(t *testing.T) {
+// TestEndNoticeAppliesToTheDrainingStart covers notices that don't say when the replica started.
+func TestEndNoticeAppliesToTheDrainingStart(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Times{Silence: 5 * time.Second, Forget: time.Minute})
-	draining := said("i", 7, 4, "a:1")
+	draining := heartbeat("i", 7, 4, "a:1")
 	draining.Draining = true
-	table.Hear(dawn, draining)
-	table.Hear(dawn, said("i", 9, 1, "a:1"))
-	leaver, found := table.Leaver("i")
+	table.Hear(testStart, draining)
+	table.Hear(testStart, heartbeat("i", 9, 1, "a:1"))
+	leaver, found := table.EndingStart("i")
 	is.True(found)
-	is.Equal(leaver.Born, int64(7)) // the late word of the start that drained
-	table.Note(dawn, Record{ID: "i", Gone: true})
+	is.Equal(leaver.Born, int64(7)) // the late notice of the draining start
+	table.ApplyForwarded(testStart, Record{ID: "i", Gone: true})
 	is.True(table.Leaving("i@7"))
 	is.True(!table.Leaving("i@9"))
-	leaver, _ = table.Leaver("i")
-	is.Equal(leaver.Born, int64(9)) // the next one is about the start that is there
-	_, found = table.Leaver("other")
+	leaver, _ = table.EndingStart("i")
+	is.Equal(leaver.Born, int64(9)) // the next notice refers to the running start
+	_, found = table.EndingStart("other")
 	is.True(!found)
 }
 
-// TestAStartWhoseClockWasSetBackIsUsedOnceTheEarlierIsSilent: it says that it is the earlier one,
-// and goes on calling while the other does not.
-func TestAStartWhoseClockWasSetBackIsUsedOnceTheEarlierIsSilent(t *testing.T) {
+// TestStartWithClockSetBackIsUsedOnceTheOtherIsSilent covers a start that reports an earlier time
+// than the previous one because the clock was set back, and that keeps sending heartbeats while the
+// other does not.
+func TestStartWithClockSetBackIsUsedOnceTheOtherIsSilent(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Take(dawn, "node", []Standing{{Record: said("i", 9, 7, "a:1")}})
-	d.Take(dawn, "node", []Standing{{Record: said("i", 7, 1, "a:1")}})
-	is.Equal(usedStarts(d, "i"), []int64{9})
-	d.Take(dawn, "node", []Standing{{Record: said("i", 9, 7, "a:1"), Silent: true}})
-	is.Equal(usedStarts(d, "i"), []int64{7})
-	d.Take(dawn, "node", []Standing{{Record: said("i", 9, 8, "a:1")}})
-	is.Equal(usedStarts(d, "i"), []int64{9}) // it was cut off and is heard again
+	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 7, "a:1")}})
+	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 7, 1, "a:1")}})
+	is.Equal(usableStarts(d, "i"), []int64{9})
+	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 7, "a:1"), Silent: true}})
+	is.Equal(usableStarts(d, "i"), []int64{7})
+	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 8, "a:1")}})
+	is.Equal(usableStarts(d, "i"), []int64{9}) // it was cut off and sends heartbeats again
 }
 
-// TestAReplicaThatDoesNotSayItsStartIsKnownByItsName: as before there were starts.
-func TestAReplicaThatDoesNotSayItsStartIsKnownByItsName(t *testing.T) {
+// TestReplicaWithoutStartTimeIsIdentifiedByName covers replicas of versions that don't report
+// starts.
+func TestReplicaWithoutStartTimeIsIdentifiedByName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Incarnation{Name: "i"}.ID(), "i")
 	is.Equal(Incarnation{Name: "i", Born: 7}.ID(), "i@7")
 	table := NewTable(Times{Silence: 5 * time.Second, Forget: time.Minute})
-	table.Hear(dawn, said("i", 0, 4, "a:1"))
-	is.True(!table.Hear(dawn, said("i", 0, 3, "a:2"))) // a late call
+	table.Hear(testStart, heartbeat("i", 0, 4, "a:1"))
+	is.True(!table.Hear(testStart, heartbeat("i", 0, 3, "a:2"))) // a late heartbeat
 	d := NewDirectory(time.Minute)
-	d.Take(dawn, "node", []Standing{{Record: said("i", 9, 1, "a:1")}, {Record: said("i", 0, 5, "a:2")}})
-	is.Equal(usedStarts(d, "i"), []int64{9}) // one that says its start goes before one that does not
+	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 1, "a:1")}, {Record: heartbeat("i", 0, 5, "a:2")}})
+	is.Equal(usableStarts(d, "i"), []int64{9}) // a start with a time is preferred to one without
 }
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -10,40 +10,40 @@
 	"pgregory.net/rapid"
 )
 
-var noon = time.Unix(1_800_000_000, 0)
+var baseTime = time.Unix(1_800_000_000, 0)
 
 var times = Times{Silence: 5 * time.Second, Forget: time.Minute}
 
-func TestLateCallsChangeNothing(t *testing.T) {
+func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	is.True(table.Hear(noon, Record{ID: "a", Sequence: 5, Slots: 8}))
-	is.True(!table.Hear(noon, Record{ID: "a", Sequence: 4, Slots: 2}))
+	is.True(table.Hear(baseTime, Record{ID: "a", Sequence: 5, Slots: 8}))
+	is.True(!table.Hear(baseTime, Record{ID: "a", Sequence: 4, Slots: 2}))
 	record, _ := table.Record("a")
 	is.Equal(record.Slots, 8)
 }
 
-func TestSilenceIsToldOnceAndTakenBack(t *testing.T) {
+func TestSilenceIsReportedOnceAndCleared(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	table.Hear(noon, Record{ID: "a", Sequence: 1})
+	table.Hear(baseTime, Record{ID: "a", Sequence: 1})
 	stamp := table.Stamp()
-	is.True(!table.Sweep(noon.Add(4 * time.Second)))
-	is.True(table.Sweep(noon.Add(6 * time.Second)))
-	is.True(!table.Sweep(noon.Add(7 * time.Second)))
+	is.True(!table.Sweep(baseTime.Add(4 * time.Second)))
+	is.True(table.Sweep(baseTime.Add(6 * time.Second)))
+	is.True(!table.Sweep(baseTime.Add(7 * time.Second)))
 	is.True(table.Since(stamp)[0].Silent)
-	is.True(table.Hear(noon.Add(8*time.Second), Record{ID: "a", Sequence: 2}))
+	is.True(table.Hear(baseTime.Add(8*time.Second), Record{ID: "a", Sequence: 2}))
 	is.True(!table.Since(stamp)[0].Silent)
-	table.Sweep(noon.Add(3 * time.Minute))
+	table.Sweep(baseTime.Add(3 * time.Minute))
 	is.Equal(len(table.Since(0)), 0)
 }
 
 func TestANewIncarnationTakesTheAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Take(noon, "n", []Standing{{Record: Record{ID: "old", Address: "x"}}})
-	d.Take(noon, "n", []Standing{{Record: Record{ID: "new", Address: "x"}}})
-	d.Take(noon, "n", []Standing{{Record: Record{ID: "old", Address: "x", Sequence: 9}}})
+	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "old", Address: "x"}}})
+	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "new", Address: "x"}}})
+	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "old", Address: "x", Sequence: 9}}})
 	for _, e := range d.Entries() {
 		is.Equal(e.Usable(), e.Record.ID == "new")
 	}
@@ -52,31 +52,31 @@
 func TestOneNodeThatHearsAReplicaIsEnough(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Take(noon, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}, Silent: true}})
+	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}, Silent: true}})
 	is.True(!d.Entries()[0].Usable())
-	d.Take(noon, "m", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
+	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
 	is.True(d.Entries()[0].Usable())
 }
 
 func TestLostNodesAreTrustedOnlyWhileNoOtherIsInReach(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Take(noon, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
-	d.Lose(noon, "n")
-	d.Sweep(noon.Add(10*time.Second), 5*time.Second, false)
+	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
+	d.RemoveSource(baseTime, "n")
+	d.Sweep(baseTime.Add(10*time.Second), 5*time.Second, false)
 	is.True(d.Entries()[0].Usable())
-	d.Sweep(noon.Add(10*time.Second), 5*time.Second, true)
+	d.Sweep(baseTime.Add(10*time.Second), 5*time.Second, true)
 	is.True(!d.Entries()[0].Usable())
 }
 
-// TestLeavingIsNeverTakenBack: in whatever order and from whatever nodes the
-// calls of a replica arrive, once it was told that the replica leaves it stays so.
+// TestLeavingIsNeverTakenBack checks that a replica once reported as leaving stays so, whatever the
+// order and the nodes through which its heartbeats arrive.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*Table{NewTable(times), NewTable(times), NewTable(times)}
 		d := NewDirectory(time.Hour)
 		stamps := make([]uint64, len(nodes))
-		now := noon
+		now := baseTime
 		told := false
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for i := 0; i < steps; i++ {
@@ -87,45 +87,45 @@
 			record.Gone = rapid.IntRange(0, 9).Draw(t, "gone") == 0
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				nodes[n].Note(now, record)
+				nodes[n].ApplyForwarded(now, record)
 			case 1:
 				nodes[n].Sweep(now)
 			case 2:
-				d.Lose(now, fmt.Sprint(n))
+				d.RemoveSource(now, fmt.Sprint(n))
 				stamps[n] = 0
 			default:
 				nodes[n].Hear(now, record)
 			}
-			d.Take(now, fmt.Sprint(n), nodes[n].Since(stamps[n]))
+			d.Apply(now, fmt.Sprint(n), nodes[n].Since(stamps[n]))
 			stamps[n] = nodes[n].Stamp()
 			d.Sweep(now, 5*time.Second, true)
 			entries := d.Entries()
 			leaving := len(entries) > 0 && entries[0].Record.Leaving()
 			if told && !leaving {
-				t.Fatalf("step %d: leaving was taken back", i)
+				t.Fatalf("step %d: the replica is no longer leaving", i)
 			}
 			told = told || leaving
 		}
 	})
 }
 
-// TestChangesAndStandingsTellTheSame: who takes in every change, and who follows by
-// stamps at any moments, ends with what the directory holds.
+// TestChangesAndStandingsTellTheSame checks that applying every change and following by stamps at
+// arbitrary times both end with the directory's state.
 func TestChangesAndStandingsTellTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, follower := NewDirectory(time.Hour), NewDirectory(time.Hour)
 		kept := map[string]Entry{}
-		now, stamp := noon, uint64(0)
+		now, stamp := baseTime, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "pause")) * time.Second)
 			source := rapid.SampledFrom([]string{"n", "m"}).Draw(t, "source")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				d.Lose(now, source)
+				d.RemoveSource(now, source)
 			case 1:
 				d.Sweep(now, 5*time.Second, rapid.Bool().Draw(t, "in reach"))
 			default:
-				d.Take(now, source, []Standing{drawStanding(t)})
+				d.Apply(now, source, []Standing{drawStanding(t)})
 			}
 			changes := d.Changes()
 			for _, e := range changes.Entries {
@@ -135,28 +135,28 @@
 				delete(kept, id)
 			}
 			if rapid.Bool().Draw(t, "the follower is told") {
-				follower.Take(now, "relay", d.Since(stamp))
+				follower.Apply(now, "relay", d.Since(stamp))
 				stamp = d.Stamp()
 			}
 		}
-		follower.Take(now, "relay", d.Since(stamp))
+		follower.Apply(now, "relay", d.Since(stamp))
 		entries := d.Entries()
 		if len(kept) != len(entries) {
-			t.Fatalf("%d are kept of %d", len(kept), len(entries))
+			t.Fatalf("%d replicas from changes, want %d", len(kept), len(entries))
 		}
 		for _, e := range entries {
 			if got := kept[e.Record.ID]; got.Usable() != e.Usable() || got.Record.Sequence != e.Record.Sequence {
-				t.Fatalf("kept is %+v, not %+v", got, e)
+				t.Fatalf("from changes: %+v, want %+v", got, e)
 			}
 		}
 		if got, want := usable(follower), usable(d); !maps.Equal(got, want) {
-			t.Fatalf("the follower uses %v, not %v", got, want)
+			t.Fatalf("usable for the follower: %v, want %v", got, want)
 		}
 	})
 }
 
-// drawStanding draws a word on one of three replicas, two of which had the same address
-// one after the other. An incarnation keeps its address.
+// drawStanding draws a standing of one of three replicas, two of which had the same address one
+// after the other. An incarnation keeps its address.
 func drawStanding(t *rapid.T) Standing {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "replica")
 	return Standing{
@@ -171,39 +171,39 @@
 	}
 }
 
-// TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress: a process that has just begun
-// to learn may hear it last; the incarnation that goes on calling gets its address back
-// once the other has fallen silent.
+// TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress covers a process that has just started
+// to receive updates and processes the dead incarnation's heartbeat last. The running incarnation
+// must get its address back once the other one is silent.
 func TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
 	alive, dead := Record{ID: "i-new", Address: "10.0.0.1:80"}, Record{ID: "i-old", Address: "10.0.0.1:80"}
-	d.Take(noon, "a", []Standing{{Record: alive}})
-	d.Take(noon, "b", []Standing{{Record: dead}})
-	is.Equal(usable(d), map[string]bool{"i-old": true}) // it can't be told yet which one is there
-	d.Take(noon.Add(5*time.Second), "b", []Standing{{Record: dead, Silent: true}})
+	d.Apply(baseTime, "a", []Standing{{Record: alive}})
+	d.Apply(baseTime, "b", []Standing{{Record: dead}})
+	is.Equal(usable(d), map[string]bool{"i-old": true}) // it is not known yet which one is running
+	d.Apply(baseTime.Add(5*time.Second), "b", []Standing{{Record: dead, Silent: true}})
 	is.Equal(usable(d), map[string]bool{"i-new": true})
-	is.Equal(len(d.Since(d.Stamp()-1)), 1) // and gateways are told
+	is.Equal(len(d.Since(d.Stamp()-1)), 1) // and gateways are sent the change
 }
 
-// TestABackendServerThatIsColdAgainIsNews, and one that warms up is none.
-func TestABackendServerThatIsColdAgainIsNews(t *testing.T) {
+// TestBecomingColdAgainIsAChange checks this and that a replica that warms up is not a change.
+func TestBecomingColdAgainIsAChange(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Times{Silence: time.Minute, Forget: time.Hour})
 	directory := NewDirectory(time.Hour)
 	now := time.Unix(1_800_000_000, 0)
-	say := func(sequence uint64, coldMS int64) (news bool) {
+	send := func(sequence uint64, coldMS int64) (news bool) {
 		news = table.Hear(now, Record{ID: "r", Sequence: sequence, ColdMS: coldMS})
 		stamp := directory.Stamp()
-		directory.Take(now, "a", table.Since(0))
+		directory.Apply(now, "a", table.Since(0))
 		is.Equal(directory.Stamp() != stamp, news)
 		return news
 	}
-	is.True(say(1, 3000))
-	is.True(!say(2, 1800))
-	is.True(!say(3, 0))
-	is.True(say(4, 3000))
+	is.True(send(1, 3000))
+	is.True(!send(2, 1800))
+	is.True(!send(3, 0))
+	is.True(send(4, 3000))
 	is.Equal(directory.Since(0)[0].Record.ColdMS, int64(3000))
-	is.True(!say(5, 1000))
-	is.True(say(6, 2500)) // cold anew before it was warm
+	is.True(!send(5, 1000))
+	is.True(send(6, 2500)) // cold again before it was warm
 }
