--- a/src/registry/table.go
+++ b/src/registry/table.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// Times are the bounds of what a table remembers.
+// Times configures how long a table keeps replicas.
 type Times struct {
-	// Silence is how long after its last call a replica counts as silent.
+	// Silence is the time without a heartbeat after which a replica counts as silent.
 	Silence time.Duration
-	// Forget is how long a replica that is gone or silent is remembered.
+	// Forget is the time after its last heartbeat at which a replica is removed.
 	Forget time.Duration
 }
 
-// Standing is a record with how one node sees it.
+// Standing is a replica's record together with its status as seen by one node.
 type Standing struct {
 	Record Record `json:"record"`
-	// Silent is set when the replica has not called this node for a while.
+	// Silent is set when the node has had no heartbeat of the replica for Times.Silence.
 	Silent bool `json:"silent,omitempty"`
-	// Recalled is set while the node knows the replica from before its own restart
-	// only.
+	// Recalled is set while the node knows the replica only from the state that it saved before its
+	// own restart.
 	Recalled bool `json:"recalled,omitempty"`
-	// Replaced is set when a later incarnation took the replica's address. Only one
-	// who merges the words of several nodes tells it.
+	// Replaced is set when a later incarnation has taken over the replica's address. Only a
+	// Directory sets it.
 	Replaced bool `json:"replaced,omitempty"`
-	// Owner is set when several incarnations were told of at the replica's address and
-	// this one has it. Only one who merges the words of several nodes tells it: who follows
-	// the merged view must not decide anew, in the order in which it learned of them.
+	// Owner is set when several incarnations were reported at the replica's address and this one
+	// owns it. Only a Directory sets it: subscribers to the merged view must not decide again,
+	// based on the order in which they happened to learn of the replicas.
 	Owner bool `json:"owner,omitempty"`
 }
 
-// doubtful reports whether the replica may have ended without the node knowing.
-func (s *Standing) doubtful() bool { return s.Silent || s.Recalled }
+// unconfirmed reports whether the replica may have ended without the node knowing.
+func (s *Standing) unconfirmed() bool { return s.Silent || s.Recalled }
 
-// recallTime is how long a recalled replica counts as there without a call: two
-// heartbeats of the usual 1.2 s, since the first after a restart may be lost.
-const recallTime = 2500 * time.Millisecond
+// recallGrace is how long a replica restored after a restart counts as running without a heartbeat:
+// two of the usual intervals of 1.2 s, since the first heartbeat after a restart may be lost.
+const recallGrace = 2500 * time.Millisecond
 
+// row is a table's entry for one replica.
 type row struct {
 	standing Standing
 	heardAt  time.Time
-	// direct is set once the replica called this node itself.
+	// direct is set once the replica itself has sent this node a heartbeat.
 	direct bool
 	stamp  uint64
-	// order grows with the replicas that the node learned of.
+	// order numbers the replicas in the order in which the node learned of them.
 	order uint64
 }
 
-// Table holds what one node was told; it is not safe for concurrent use. Every
-// change that others must learn gets a stamp that grows.
+// Table holds the replicas reported to one node. Each change that other nodes must learn of gets an
+// increasing stamp. A Table is not safe for concurrent use.
 type Table struct {
 	times Times
 	rows  map[string]*row
@@ -64,21 +65,21 @@
 // Stamp returns the stamp of the newest change.
 func (t *Table) Stamp() uint64 { return t.stamp }
 
-// Recall takes in the replicas that were known before a restart. Each counts as
-// there for a short while, until it calls.
+// Recall adds replicas saved before a restart. Each counts as running for recallGrace, until its
+// first heartbeat.
 func (t *Table) Recall(now time.Time, records []Record) {
 	for _, record := range records {
 		if t.rows[record.ID] != nil {
 			continue
 		}
-		known := &row{standing: Standing{Record: record, Recalled: true}, heardAt: now.Add(recallTime - t.times.Silence)}
+		known := &row{standing: Standing{Record: record, Recalled: true}, heardAt: now.Add(recallGrace - t.times.Silence)}
 		t.add(known)
 	}
 }
 
-// Records returns the replicas worth recalling after a restart: those that called
-// lately, and those that leave, which must not be taken for there again. They come in
-// the order in which the node learned of them, which decides who has an address.
+// Records returns the replicas to save for a restart: those with recent heartbeats, and those that
+// are leaving, which must not count as running again. They are in the order in which the node
+// learned of them, which decides who owns an address.
 func (t *Table) Records() []Record {
 	var records []Record
 	for _, known := range t.sorted() {
@@ -99,20 +100,21 @@
 	return rows
 }
 
-// Hear takes in a replica's own call and reports whether others must learn of it.
+// Hear processes a replica's own heartbeat and reports whether other nodes must learn of a change.
 func (t *Table) Hear(now time.Time, record Record) bool {
-	return t.take(now, record, true)
+	return t.apply(now, record, true)
 }
 
-// Note takes in what another node was told of a replica that leaves.
-func (t *Table) Note(now time.Time, record Record) bool {
-	return t.take(now, record, false)
+// ApplyForwarded processes a leaving replica's record that another node forwarded, and reports
+// whether other nodes must learn of a change.
+func (t *Table) ApplyForwarded(now time.Time, record Record) bool {
+	return t.apply(now, record, false)
 }
 
-func (t *Table) take(now time.Time, record Record, direct bool) bool {
+func (t *Table) apply(now time.Time, record Record, direct bool) bool {
 	known := t.rows[record.ID]
 	if known == nil && record.Gone {
-		if left, found := t.Leaver(record.ReplicaName()); found {
+		if left, found := t.EndingStart(record.ReplicaName()); found {
 			left.Gone = true
 			record, known = left, t.rows[left.ID]
 		}
@@ -122,37 +124,38 @@
 		t.add(known)
 		return true
 	}
-	if record.Sequence <= known.standing.Record.Sequence && !leavesFurther(&known.standing.Record, &record) {
-		return t.repeat(now, known, record, direct)
+	if record.Sequence <= known.standing.Record.Sequence && !advancesDeparture(&known.standing.Record, &record) {
+		return t.applyRepeat(now, known, record, direct)
 	}
 	before := known.standing
-	known.standing.Record.supersede(record)
+	known.standing.Record.update(record)
 	if direct {
 		known.heardAt = now
 		known.direct = true
 		known.standing.Silent = false
 		known.standing.Recalled = false
 	}
-	changed := before.doubtful() != known.standing.doubtful() || before.Silent != known.standing.Silent || !sameFor(&before.Record, &known.standing.Record)
+	changed := before.unconfirmed() != known.standing.unconfirmed() || before.Silent != known.standing.Silent || !sameState(&before.Record, &known.standing.Record)
 	if changed {
 		t.mark(known)
 	}
 	return changed
 }
 
-// leavesFurther reports whether a call says more of a replica's leaving than is known.
-func leavesFurther(known, next *Record) bool {
+// advancesDeparture reports whether next sets Draining or Gone where known does not.
+func advancesDeparture(known, next *Record) bool {
 	return next.Draining && !known.Draining || next.Gone && !known.Gone
 }
 
-// repeat takes in a call that was sent again or comes late: it proves nothing new.
-func (t *Table) repeat(now time.Time, known *row, record Record, direct bool) bool {
+// applyRepeat processes a duplicate or late heartbeat. A duplicate of the latest one still shows
+// that the replica is running; an older one shows nothing.
+func (t *Table) applyRepeat(now time.Time, known *row, record Record, direct bool) bool {
 	if !direct || record.Sequence < known.standing.Record.Sequence {
 		return false
 	}
 	known.heardAt = now
 	known.direct = true
-	if !known.standing.doubtful() {
+	if !known.standing.unconfirmed() {
 		return false
 	}
 	known.standing.Silent = false
@@ -173,7 +176,7 @@
 	r.stamp = t.stamp
 }
 
-// Len returns the number of replicas that are known.
+// Len returns the number of known replicas.
 func (t *Table) Len() int { return len(t.rows) }
 
 // Leaving reports whether a replica is known to be draining or gone.
@@ -182,7 +185,7 @@
 	return known != nil && known.standing.Record.Leaving()
 }
 
-// Record returns what is known of a replica.
+// Record returns the record of a replica, if it is known.
 func (t *Table) Record(id string) (Record, bool) {
 	known := t.rows[id]
 	if known == nil {
@@ -191,17 +194,17 @@
 	return known.standing.Record, true
 }
 
-// Leaver returns the start of a replica that a word of its end is about, which does not say when
-// the replica started: one that drains and has not ended, since an earlier start's word may come
-// after a later start's first call; else the latest.
-func (t *Table) Leaver(name string) (Record, bool) {
+// EndingStart returns the start of a replica that an end notice refers to; the notice carries only
+// the replica's name. It is one that is draining and not gone, since the notice of an earlier start
+// may arrive after the first heartbeat of a later one; otherwise it is the latest.
+func (t *Table) EndingStart(name string) (Record, bool) {
 	var found *Record
 	for _, known := range t.rows {
 		record := &known.standing.Record
 		if record.ReplicaName() != name {
 			continue
 		}
-		if found == nil || leavesFirst(record, found) {
+		if found == nil || endsFirst(record, found) {
 			found = record
 		}
 	}
@@ -211,17 +214,18 @@
 	return *found, true
 }
 
-// leavesFirst reports whether a word of an end is about the first of two starts.
-func leavesFirst(first, second *Record) bool {
-	ends, others := first.Draining && !first.Gone, second.Draining && !second.Gone
-	if ends != others {
-		return ends
+// endsFirst reports whether an end notice refers to the first of two starts rather than to the
+// second.
+func endsFirst(first, second *Record) bool {
+	firstEnds, secondEnds := first.Draining && !first.Gone, second.Draining && !second.Gone
+	if firstEnds != secondEnds {
+		return firstEnds
 	}
-	return second.precedes(first)
+	return second.startedBefore(first)
 }
 
-// Sweep marks replicas that fell silent and forgets old ones; it reports
-// whether others must learn of something.
+// Sweep marks replicas that have become silent and removes old ones. It reports whether other nodes
+// must learn of a change.
 func (t *Table) Sweep(now time.Time) bool {
 	changed := false
 	for id, known := range t.rows {
@@ -239,8 +243,8 @@
 	return changed
 }
 
-// Since returns what changed after a stamp, in the order in which the node learned
-// of the replicas: of two at one address the later one has it.
+// Since returns the replicas that changed after a stamp, in the order in which the node learned of
+// them: of two at one address the later one owns it.
 func (t *Table) Since(stamp uint64) []Standing {
 	var changed []Standing
 	for _, known := range t.sorted() {
