--- a/src/feed/feed_test.go
+++ b/src/feed/feed_test.go
@@ -67,7 +67,7 @@
 	ctx := context.Background()
 	is.True(alone.Hear(ctx, registry.Record{ID: "r", Sequence: 1}))
 	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true}))
-	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when sent again
+	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when it is repeated
 	is.True(!alone.Remove(ctx, "r"))
 	eventually(t, "gateways learn of it nevertheless", func() bool {
 		known, usable := s.usable("r")
@@ -118,7 +118,7 @@
 func TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain(t *testing.T) {
 	n := newTestNet(t, 1)
 	n.nodes[0].setDocument(4, "four")
-	s := &recordingSink{refuse: 2}
+	s := &recordingSink{rejections: 2}
 	f := NewFollower(Options{Node: "g", Zone: "z", Gateway: true, Seeds: n.addresses()}, s.sink(), &rpc.Meter{}, nil, nil, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/src/feed/heartbeat_test.go
+++ b/src/feed/heartbeat_test.go
@@ -12,14 +12,15 @@
 )
 
 // TestContradictoryHeartbeatIsRejected checks that a new replica names a configured service, and
-// that a known one keeps its service and address.
+// that a known one keeps its service and address, also before the first configuration after a
+// restart.
 func TestContradictoryHeartbeatIsRejected(t *testing.T) {
 	is := is.New(t)
-	named := map[string]bool{}
-	var refused []string
+	services := map[string]bool{}
+	var rejected []string
 	cluster := Cluster{
-		Serves:   func(service string) bool { return named[service] },
-		Misread:  func(name, reason string) { refused = append(refused, name+": "+reason) },
+		Serves:   func(service string) bool { return services[service] },
+		Misread:  func(name, reason string) { rejected = append(rejected, name+": "+reason) },
 		Majority: func() (int, bool) { return 0, true },
 		Peers:    func() []string { return nil },
 		Save:     func([]registry.Record) error { return nil },
@@ -35,7 +36,7 @@
 	is.True(p.Hear(ctx, recalled))
 	newcomer := registry.Record{ID: "i-2", Service: "s", Address: "a:2", Sequence: 1}
 	is.True(!p.Hear(ctx, newcomer)) // it is not known yet whether the service exists
-	named["s"] = true
+	services["s"] = true
 	is.True(p.Hear(ctx, newcomer))
 	for _, change := range []func(r *registry.Record){
 		func(r *registry.Record) { r.Service = "t" },
@@ -48,12 +49,12 @@
 		is.True(!p.Hear(ctx, foreign))
 	}
 	known, _ := p.table.Record("i-2")
-	is.Equal(known.Sequence, uint64(1)) // what is refused changes nothing
+	is.Equal(known.Sequence, uint64(1)) // a rejected heartbeat changes nothing
 	_, found := p.table.Record("i-3")
 	is.True(!found)
 	newcomer.Draining, newcomer.Sequence = true, 2
 	is.True(p.Hear(ctx, newcomer))
-	is.Equal(refused, []string{
+	is.Equal(rejected, []string{
 		"i-2: service s is not in the configuration", "i-2: it has another service than before",
 		"i-2: it has another address than before", "i-3: service t is not in the configuration",
 	})
--- a/src/feed/net_test.go
+++ b/src/feed/net_test.go
@@ -201,8 +201,8 @@
 	gateways int
 	holdings *wire.Holdings
 	drains   *wire.ZoneDrains
-	// refuse is how many configurations are still to be rejected.
-	refuse int
+	// rejections is how many configurations are still to be rejected.
+	rejections int
 }
 
 // errUnreadable is the error of a rejected configuration.
@@ -232,12 +232,12 @@
 	}
 }
 
-// takeDocument rejects as many configurations as refuse says and records the others.
+// takeDocument rejects as many configurations as rejections says and records the others.
 func (s *recordingSink) takeDocument(_ string, d wire.Document) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refuse > 0 {
-		s.refuse--
+	if s.rejections > 0 {
+		s.rejections--
 		return errUnreadable
 	}
 	s.versions = append(s.versions, d.Version)
--- a/src/feed/relay_test.go
+++ b/src/feed/relay_test.go
@@ -72,7 +72,7 @@
 	eventually(t, "the update arrives", func() bool { _, usable := s.usable("r"); return usable })
 	cut.Set(nil)
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
-	eventually(t, "that one is in reach", func() bool { return f.Live() == 1 })
+	eventually(t, "that one is connected", func() bool { return f.Live() == 1 })
 	_, usable := s.usable("r")
 	if !usable {
 		t.Error("the other node's update is lost")
@@ -108,9 +108,9 @@
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestAControlNodeThatIsNotCertainIsNotTheOnlyOne covers a node that reaches the others but knows
-// no leader, so that it would not learn of a newer configuration.
-func TestAControlNodeThatIsNotCertainIsNotTheOnlyOne(t *testing.T) {
+// TestUncertainControlNodeIsNotFollowedAlone covers a node that reaches the others but knows no
+// leader, so that it would not learn of a newer configuration.
+func TestUncertainControlNodeIsNotFollowedAlone(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	f, _ := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
@@ -137,7 +137,7 @@
 	n.nodes[2].publisher.Hear(context.Background(), registry.Record{ID: "q", Sequence: 1})
 	eventually(t, "news of the own zone arrives", func() bool { _, usable := s.usable("q"); return usable })
 	if f.Live() != 1 {
-		t.Error("the own zone's node is in reach")
+		t.Error("want only the own zone's node connected")
 	}
 }
 
@@ -177,7 +177,7 @@
 		return len(s.versions) == 2 && s.versions[1] == 5
 	})
 	if f.Live() != 1 {
-		t.Error("only the own zone's node is in reach")
+		t.Error("want no node but the own zone's connected")
 	}
 }
 
@@ -226,13 +226,13 @@
 	is.Equal(len(update.Standings[0].Record.InMemory), 0) // only placement needs it
 }
 
-// TestEveryGatewayOfANodeIsTold checks that Tell reaches a gateway that follows the node, and that
-// one that has left is forgotten.
-func TestEveryGatewayOfANodeIsTold(t *testing.T) {
+// TestTellReachesEveryGatewayOfANode checks that Tell reaches a gateway that follows the node, and
+// that one that has left is forgotten.
+func TestTellReachesEveryGatewayOfANode(t *testing.T) {
 	n := newTestNet(t, 1)
-	told := make(chan wire.Backlogs, 16)
+	received := make(chan wire.Backlogs, 16)
 	cut := &fault.Cut{}
-	sink := Sink{Replicas: func(registry.Changes) {}, Backlogs: func(b wire.Backlogs) { told <- b }}
+	sink := Sink{Replicas: func(registry.Changes) {}, Backlogs: func(b wire.Backlogs) { received <- b }}
 	f := NewFollower(Options{Node: "g", Zone: "z", Gateway: true, Seeds: n.addresses()}, sink, &rpc.Meter{}, cut, nil, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -243,13 +243,13 @@
 		t.Fatal(err)
 	}
 	n.nodes[0].relay.Tell(backlogs)
-	if got := <-told; string(got.Packed) != "\x01\x02" {
-		t.Errorf("the gateway was told %v", got.Packed)
+	if got := <-received; string(got.Packed) != "\x01\x02" {
+		t.Errorf("the gateway received %v", got.Packed)
 	}
 	cancel()
 	cut.Set(n.addresses())
 	n.nodes[0].server.Close()
-	eventually(t, "the gateway is gone", func() bool { return n.nodes[0].relay.Gateways() == 0 })
+	eventually(t, "the gateway has disconnected", func() bool { return n.nodes[0].relay.Gateways() == 0 })
 	n.nodes[0].relay.mu.Lock()
 	defer n.nodes[0].relay.mu.Unlock()
 	if len(n.nodes[0].relay.subscribers) != 0 {
--- a/src/feed/selection.go
+++ b/src/feed/selection.go
@@ -101,23 +101,23 @@
 }
 
 // mayStart reports whether the source after the counted ones may be followed.
-func (p *startLimiter) mayStart(now time.Time) bool {
-	return !p.foundHealthy && p.attached < maxUncertainFollowed && !now.Before(p.nextStart)
+func (l *startLimiter) mayStart(now time.Time) bool {
+	return !l.foundHealthy && l.attached < maxUncertainFollowed && !now.Before(l.nextStart)
 }
 
 // count adds one more source.
-func (p *startLimiter) count(now time.Time, s *source) {
-	p.foundHealthy = p.foundHealthy || s.healthy(now)
+func (l *startLimiter) count(now time.Time, s *source) {
+	l.foundHealthy = l.foundHealthy || s.healthy(now)
 	if s.attached(now) {
-		p.attached++
+		l.attached++
 	}
 	switch {
 	case s.stop == nil || s.failed:
 	case s.live:
-		p.nextStart = later(p.nextStart, s.startedAt.Add(unhealthyDelay<<p.live))
-		p.live++
+		l.nextStart = later(l.nextStart, s.startedAt.Add(unhealthyDelay<<l.live))
+		l.live++
 	default:
-		p.nextStart = later(p.nextStart, s.startedAt.Add(unansweredDelay))
+		l.nextStart = later(l.nextStart, s.startedAt.Add(unansweredDelay))
 	}
 }
 
--- a/src/feed/selection_test.go
+++ b/src/feed/selection_test.go
@@ -169,7 +169,7 @@
 	r, s := newManualRelay(t)
 	now := time.Unix(1_800_000_000, 0)
 	r.round(now)
-	_, told, changed, err := r.next(relayState{})
+	_, sent, changed, err := r.next(relayState{})
 	is.NoErr(err)
 	s.gateways = 7
 	r.follower.options.Gateway = true // a gateway uses the largest number that a node reports
@@ -179,10 +179,10 @@
 		t.Error("the gateways are sent an update at once")
 	default:
 	}
-	sign, _, _, err := r.next(told)
+	keepalive, _, _, err := r.next(sent)
 	is.NoErr(err)
 	var update wire.FeedUpdate
-	is.NoErr(json.Unmarshal(sign.Params(), &update))
+	is.NoErr(json.Unmarshal(keepalive.Params(), &update))
 	is.Equal(update.Gateways, 7) // it is in the next keepalive
 }
 
--- a/src/loadview/board_test.go
+++ b/src/loadview/board_test.go
@@ -13,7 +13,7 @@
 
 var baseTime = time.Unix(1_800_000_000, 0)
 
-func drop(wire.LoadReport) {}
+func discard(wire.LoadReport) {}
 
 func report(node, replica string, running, unread int) wire.LoadReport {
 	return wire.LoadReport{Node: node, Loads: []wire.ReplicaLoad{{Replica: replica, Running: running, UnreadMS: unread}}}
@@ -27,15 +27,15 @@
 		last := map[string]wire.ReplicaLoad{}
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			node := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(t, "node"))
-			said := report(node, "r", rapid.IntRange(0, 9).Draw(t, "running"), rapid.IntRange(0, 99).Draw(t, "unread"))
+			sent := report(node, "r", rapid.IntRange(0, 9).Draw(t, "running"), rapid.IntRange(0, 99).Draw(t, "unread"))
 			if rapid.Bool().Draw(t, "a control node") {
 				node = "control " + node
-				said.Node = node
-				b.TakeSum(baseTime, said)
+				sent.Node = node
+				b.TakeSum(baseTime, sent)
 			} else {
-				b.Report(baseTime, said, drop)
+				b.Report(baseTime, sent, discard)
 			}
-			last[node] = said.Loads[0]
+			last[node] = sent.Loads[0]
 		}
 		want := wire.ReplicaLoad{Replica: "r"}
 		for _, load := range last {
@@ -52,34 +52,35 @@
 func TestSumsLeaveOutWhatOtherControlNodesTold(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard()
-	b.Report(baseTime, report("gateway", "r", 2, 30), drop)
+	b.Report(baseTime, report("gateway", "r", 2, 30), discard)
 	b.TakeSum(baseTime, report("control", "r", 5, 70))
 	totals, sum, _ := b.Round(baseTime)
 	is.Equal(totals.Loads, []wire.ReplicaLoad{{Replica: "r", Running: 7, UnreadMS: 100}})
 	is.Equal(sum.Loads, []wire.ReplicaLoad{{Replica: "r", Running: 2, UnreadMS: 30}})
 }
 
-// TestTheWordOfASilentGatewayEnds guards against a gateway that hangs or is cut off making its
+// TestReportOfASilentGatewayExpires guards against a gateway that hangs or is cut off making its
 // replicas look busy forever.
-func TestTheWordOfASilentGatewayEnds(t *testing.T) {
+func TestReportOfASilentGatewayExpires(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard()
-	b.Report(baseTime, report("gateway", "r", 2, 30), drop)
+	b.Report(baseTime, report("gateway", "r", 2, 30), discard)
 	b.TakeSum(baseTime, report("control", "q", 5, 70))
-	totals, _, tell := b.Round(baseTime.Add(reportLifetime + 1))
+	totals, _, send := b.Round(baseTime.Add(reportLifetime + 1))
 	is.Equal(len(totals.Loads), 0)
-	is.Equal(len(tell), 0)
+	is.Equal(len(send), 0)
 }
 
-// TestAGatewayThatHangsIsToldOnceAtATime checks that rounds go on without such a gateway.
-func TestAGatewayThatHangsIsToldOnceAtATime(t *testing.T) {
+// TestHangingGatewayDelaysNoOthers checks that rounds go on while a gateway hangs, and that it is
+// not sent further totals meanwhile.
+func TestHangingGatewayDelaysNoOthers(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard()
-	b.Report(baseTime, report("hangs", "r", 1, 1), drop)
-	b.Report(baseTime, report("sound", "r", 1, 1), drop)
+	b.Report(baseTime, report("hangs", "r", 1, 1), discard)
+	b.Report(baseTime, report("sound", "r", 1, 1), discard)
 	_, _, first := b.Round(baseTime)
 	is.Equal(len(first), 2)
-	b.Report(baseTime, report("hangs", "r", 2, 2), drop)
+	b.Report(baseTime, report("hangs", "r", 2, 2), discard)
 	_, _, second := b.Round(baseTime)
 	is.Equal(len(second), 0) // neither call has returned
 	first[0](wire.LoadReport{})
@@ -87,10 +88,10 @@
 	is.Equal(len(third), 1)
 }
 
-// TestWhatAllAreToldIsBounded checks that at any size, the entries sent to all gateways per second
+// TestTrafficOfTotalsIsBounded checks that at any size, the entries sent to all gateways per second
 // are bounded unless totals would become too old, and that a report does not expire before the next
 // one.
-func TestWhatAllAreToldIsBounded(t *testing.T) {
+func TestTrafficOfTotalsIsBounded(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []struct{ gateways, replicas int }{{1, 1}, {7, 15}, {9, 21}, {62, 93}, {89, 145}, {340, 780}} {
 		pause := Pause(size.gateways, size.replicas)
--- a/src/loadview/sums_test.go
+++ b/src/loadview/sums_test.go
@@ -8,9 +8,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestASumThatDoesNotChangeGoesOnCounting checks that an unchanged sum is sent again before it
-// expires.
-func TestASumThatDoesNotChangeGoesOnCounting(t *testing.T) {
+// TestUnchangedSumDoesNotExpire checks that an unchanged sum is sent again before it expires.
+func TestUnchangedSumDoesNotExpire(t *testing.T) {
 	is := is.New(t)
 	sum := []wire.ReplicaLoad{{Replica: "r", Running: 3}}
 	var s Sums
--- a/src/registry/incarnation_test.go
+++ b/src/registry/incarnation_test.go
@@ -37,14 +37,14 @@
 		times := Times{Silence: 5 * time.Second, Forget: time.Minute}
 		tables := []*Table{NewTable(times), NewTable(times)}
 		control, gateway := NewDirectory(time.Minute), NewDirectory(time.Minute)
-		now, told, stamps := testStart, uint64(0), make([]uint64, len(tables))
+		now, sentStamp, stamps := testStart, uint64(0), make([]uint64, len(tables))
 		spread := func() {
 			for i, table := range tables {
 				control.Apply(now, fmt.Sprint("node-", i), table.Since(stamps[i]))
 				stamps[i] = table.Stamp()
 			}
-			gateway.Apply(now, "control", control.Since(told))
-			told = control.Stamp()
+			gateway.Apply(now, "control", control.Since(sentStamp))
+			sentStamp = control.Stamp()
 		}
 		latest := int64(rapid.IntRange(2, 4).Draw(t, "starts"))
 		sequence := map[int64]uint64{}
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -77,7 +77,7 @@
 		d := NewDirectory(time.Hour)
 		stamps := make([]uint64, len(nodes))
 		now := baseTime
-		told := false
+		wasLeaving := false
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for i := 0; i < steps; i++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 7).Draw(t, "pause")) * time.Second)
@@ -101,10 +101,10 @@
 			d.Sweep(now, 5*time.Second, true)
 			entries := d.Entries()
 			leaving := len(entries) > 0 && entries[0].Record.Leaving()
-			if told && !leaving {
+			if wasLeaving && !leaving {
 				t.Fatalf("step %d: the replica is no longer leaving", i)
 			}
-			told = told || leaving
+			wasLeaving = wasLeaving || leaving
 		}
 	})
 }
