--- a/src/raft/core.go
+++ b/src/raft/core.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Role is what a control node does in the present term.
+// Role is the Raft role of a control node in the current term.
 type Role uint8
 
 // The roles.
@@ -23,66 +23,66 @@
 // String returns the role's name.
 func (r Role) String() string { return roleNames[r] }
 
-// The errors of Propose and ProposeMembers.
+// Errors returned by Propose and ProposeMembers.
 var (
-	ErrNotLeader      = errors.New("not the leader")
-	ErrMembersPending = errors.New("a change of members is not committed yet")
-	ErrMembersStep    = errors.New("at most one voter may change at a time")
-	ErrNotCaughtUp    = errors.New("the learner has not caught up")
-	ErrDiskBehind     = errors.New("the changes that wait for the disk have reached their limit")
+	ErrNotLeader            = errors.New("not the leader")
+	ErrMembershipPending    = errors.New("a change of members is not committed yet")
+	ErrMultipleVoterChanges = errors.New("at most one voter may change at a time")
+	ErrNotCaughtUp          = errors.New("the learner has not caught up")
+	ErrDiskBehind           = errors.New("the changes that wait for the disk have reached their limit")
 )
 
-// Options are the core's times and limits.
+// Options holds the timeouts and limits of a Core.
 type Options struct {
-	// Heartbeat is how often a leader sends to each member.
+	// Heartbeat is the interval at which a leader contacts each member.
 	Heartbeat time.Duration
-	// Election is the least time without a leader before an election; the
-	// actual one is drawn from [Election, 2*Election).
+	// Election is the minimum time without a leader before an election; the
+	// actual timeout is random in [Election, 2*Election).
 	Election time.Duration
-	// Lease is how long a leader trusts its last contact with a quorum; it is
-	// below Election by a margin for clocks that run at different rates.
+	// Lease is how long a leader may rely on its last contact with a quorum. It is shorter than
+	// Election by a margin for clocks that run at different rates.
 	Lease time.Duration
-	// MaxEntries bounds the entries of one message.
+	// MaxEntries is the maximum number of entries in one message.
 	MaxEntries int
-	// MaxUnwritten bounds the entries, in bytes, that wait for the disk.
-	MaxUnwritten int
-	// HandOver is for how long a leader's write may be under way that others have ended long before;
-	// then it hands over.
-	HandOver time.Duration
+	// MaxUnwrittenBytes is the maximum size of the entries waiting to be written to disk.
+	MaxUnwrittenBytes int
+	// SlowDiskTimeout is how long a leader's write may stay in flight while a majority has already written the
+	// same entries. After that the leader transfers leadership.
+	SlowDiskTimeout time.Duration
 }
 
-// DefaultOptions returns times that fit availability zones a few milliseconds apart.
+// DefaultOptions returns options suitable for availability zones a few milliseconds apart.
 func DefaultOptions() Options {
 	return Options{
-		Heartbeat:    60 * time.Millisecond,
-		Election:     500 * time.Millisecond,
-		Lease:        400 * time.Millisecond,
-		MaxEntries:   512,
-		MaxUnwritten: 16 << 20,
-		HandOver:     time.Second,
+		Heartbeat:         60 * time.Millisecond,
+		Election:          500 * time.Millisecond,
+		Lease:             400 * time.Millisecond,
+		MaxEntries:        512,
+		MaxUnwrittenBytes: 16 << 20,
+		SlowDiskTimeout:   time.Second,
 	}
 }
 
-// progress is what a leader knows of one member.
+// progress is the leader's view of the log of one member.
 type progress struct {
 	match uint64
 	next  uint64
-	// rejected is set until an append is accepted: sends go one at a time.
+	// probing is set until an append is accepted. While it is set, appends are not pipelined.
 	probing bool
 	sentAt  time.Time
 	ackedAt time.Time
 }
 
-// round remembers when a numbered send went out.
+// round is a numbered broadcast and the time it was sent.
 type round struct {
 	number uint64
 	sentAt time.Time
 }
 
-// maxRounds bounds the sends whose times a leader remembers.
+// maxRounds is the number of recent rounds a leader keeps.
 const maxRounds = 64
 
-// Core is the consensus of one control node; it is not safe for concurrent use.
+// Core is the Raft state machine of one control node. It is not safe for concurrent use.
 type Core struct {
 	id      ID
 	options Options
@@ -98,94 +98,94 @@
 	applied uint64
 	stable  uint64
 
-	savedState HardState
-	disk       writing
-	// unwritten is the size in bytes of the entries that are not durable.
-	unwritten    int
-	newSnapshot  *Snapshot
-	messages     []Message
-	votes        map[ID]bool
-	progress     map[ID]*progress
-	rounds       []round
-	nextRound    uint64
-	electionAt   time.Time
-	heartbeatAt  time.Time
-	leaderSeenAt time.Time
+	durableState HardState
+	writes       writeState
+	// unwrittenBytes is the total data size of the log entries that are not durable.
+	unwrittenBytes    int
+	unwrittenSnapshot *Snapshot
+	messages          []Message
+	votes             map[ID]bool
+	progress          map[ID]*progress
+	rounds            []round
+	nextRound         uint64
+	electionAt        time.Time
+	heartbeatAt       time.Time
+	leaderSeenAt      time.Time
 	// ledSince is when this node was last elected.
 	ledSince time.Time
-	// leaderCommit is what the leader last said to be committed, at leaderSeenAt, and
-	// confirmedAt when this node last had applied all that its leader said.
+	// leaderCommit is the commit index in the leader's latest message, received at leaderSeenAt.
+	// confirmedAt is leaderSeenAt of the latest message whose commit index had been applied here.
 	leaderCommit uint64
 	confirmedAt  time.Time
-	// quietUntil keeps a control node that restarted from voting while a lease that
-	// it confirmed before may still run.
-	quietUntil   time.Time
-	transferTo   ID
-	transferEnds time.Time
-	timing       timing
-	settling     settling
-	// failed counts the elections that this node voted in since it last knew a leader.
-	failed int
+	// noVoteUntil prevents a restarted control node from voting while the lease of a leader that it
+	// acknowledged before the restart may still be valid.
+	noVoteUntil      time.Time
+	transferTo       ID
+	transferDeadline time.Time
+	commitLatency    commitLatency
+	quorumPersisted  quorumPersisted
+	// failedElections counts the elections this node has voted in since it last had a leader.
+	failedElections int
 }
 
-// Start is what a control node's data folder held.
+// Start is the state loaded from a control node's data folder.
 type Start struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// New returns the core of control node id, going on from what its disk held; rand
-// draws the election times.
+// New returns a Core for control node id that resumes from the state on its disk. random is the
+// source of election timeouts.
 func New(id ID, start Start, options Options, random *rand.Rand, now time.Time) *Core {
 	c := &Core{
-		id:         id,
-		options:    options,
-		rand:       random,
-		term:       start.HardState.Term,
-		vote:       start.HardState.Vote,
-		savedState: start.HardState,
-		log:        memoryLog{snapshot: start.Snapshot, entries: start.Entries},
-		commit:     start.Snapshot.Index,
-		applied:    start.Snapshot.Index,
+		id:           id,
+		options:      options,
+		rand:         random,
+		term:         start.HardState.Term,
+		vote:         start.HardState.Vote,
+		durableState: start.HardState,
+		log:          memoryLog{snapshot: start.Snapshot, entries: start.Entries},
+		commit:       start.Snapshot.Index,
+		applied:      start.Snapshot.Index,
 	}
 	c.stable = c.log.lastIndex()
 	c.commit = max(c.commit, min(start.HardState.Commit, c.stable))
 	if start.HardState.Term > 0 {
-		c.quietUntil = now.Add(options.Election)
+		c.noVoteUntil = now.Add(options.Election)
 	}
 	c.resetElection(now)
 	return c
 }
 
-// ID returns the control node's own id.
+// ID returns the ID of this control node.
 func (c *Core) ID() ID { return c.id }
 
-// Term returns the present term.
+// Term returns the current term.
 func (c *Core) Term() uint64 { return c.term }
 
-// Role returns what the control node does in the present term.
+// Role returns the node's role in the current term.
 func (c *Core) Role() Role { return c.role }
 
-// Leader returns the leader of the present term, "" if none is known.
+// Leader returns the leader of the current term, or "" if it is unknown.
 func (c *Core) Leader() ID { return c.leader }
 
-// Commit returns the last index known to be committed.
+// Commit returns the highest index known to be committed.
 func (c *Core) Commit() uint64 { return c.commit }
 
 // LastIndex returns the last index of the log.
 func (c *Core) LastIndex() uint64 { return c.log.lastIndex() }
 
-// FirstIndex returns the first index that the log still holds.
+// FirstIndex returns the first index that is still in the log.
 func (c *Core) FirstIndex() uint64 { return c.log.firstIndex() }
 
-// Members returns the membership in force.
+// Members returns the membership in effect.
 func (c *Core) Members() Members {
 	members, _ := c.log.members()
 	return members
 }
 
-// Match returns the last index that a leader knows a member to hold.
+// Match returns the last index that a leader knows to be durable on a member.
 func (c *Core) Match(id ID) uint64 {
 	if p := c.progress[id]; p != nil {
 		return p.match
@@ -193,8 +193,8 @@
 	return 0
 }
 
-// Contact returns when a member last proved to a leader that it follows; the
-// zero time if it has not, or if this node does not lead.
+// Contact returns when the latest broadcast that a member has acknowledged to this leader was sent,
+// or the zero time if there is none or this node is not the leader.
 func (c *Core) Contact(id ID) time.Time {
 	if p := c.progress[id]; p != nil {
 		return p.ackedAt
@@ -202,8 +202,8 @@
 	return time.Time{}
 }
 
-// LedSince returns when this node was elected in the term in which it leads, and
-// the zero time if it does not lead.
+// LedSince returns when this node was elected leader of the current term, or
+// the zero time if it is not the leader.
 func (c *Core) LedSince() time.Time {
 	if c.role != Leader {
 		return time.Time{}
@@ -211,30 +211,30 @@
 	return c.ledSince
 }
 
-// Propose appends data to the leader's log and returns the place it will have
+// Propose appends data to the leader's log and returns the term and index it will have
 // if it is committed.
 func (c *Core) Propose(now time.Time, data []byte) (term, index uint64, err error) {
 	if c.role != Leader || c.transferTo != "" {
 		return 0, 0, ErrNotLeader
 	}
-	if c.unwritten > c.options.MaxUnwritten {
+	if c.unwrittenBytes > c.options.MaxUnwrittenBytes {
 		return 0, 0, ErrDiskBehind
 	}
 	return c.appendOwn(now, Entry{Kind: EntryCommand, Data: data})
 }
 
-// ProposeMembers appends a change of members; one voter may change at a time,
-// and a learner may vote only once it holds all that is committed.
+// ProposeMembers appends a membership change. One voter may change at a time,
+// and a learner may become a voter only once it has all committed entries.
 func (c *Core) ProposeMembers(now time.Time, members Members) (term, index uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
 	current, at := c.log.members()
 	if at > c.commit || !c.committedInTerm() {
-		return 0, 0, ErrMembersPending
+		return 0, 0, ErrMembershipPending
 	}
 	if current.votersChanged(members) > 1 || len(members.Voters) == 0 {
-		return 0, 0, ErrMembersStep
+		return 0, 0, ErrMultipleVoterChanges
 	}
 	for _, id := range members.Voters {
 		if !current.IsVoter(id) && c.Match(id) < c.commit {
@@ -244,8 +244,8 @@
 	return c.appendOwn(now, Entry{Kind: EntryMembers, Members: &members})
 }
 
-// committedInTerm reports whether an entry of the leader's own term is
-// committed; before that the membership in the log may still be overruled.
+// committedInTerm reports whether an entry of the current term is committed. Until then
+// another leader may still overwrite the membership in the log.
 func (c *Core) committedInTerm() bool {
 	term, found := c.log.term(c.commit)
 	return found && term == c.term
@@ -255,76 +255,77 @@
 	entry.Term = c.term
 	entry.Index = c.log.lastIndex() + 1
 	c.log.append([]Entry{entry})
-	c.unwritten += len(entry.Data)
-	c.timing.appended(now, entry.Index)
-	c.settling.appended(entry.Index, c.commit)
+	c.unwrittenBytes += len(entry.Data)
+	c.commitLatency.appended(now, entry.Index)
+	c.quorumPersisted.appended(entry.Index, c.commit)
 	c.trackMembers(now)
 	c.broadcast(now)
 	return entry.Term, entry.Index, nil
 }
 
-// Transfer hands leadership to the voter that holds the most, for a planned stop.
+// Transfer starts to transfer leadership to the reachable voter with the most complete log. It
+// reports whether there is such a voter.
 func (c *Core) Transfer(now time.Time) bool {
 	if c.role != Leader {
 		return false
 	}
-	var best ID
+	var target ID
 	for _, id := range c.Members().Voters {
 		if id == c.id || c.progress[id] == nil || now.Sub(c.progress[id].ackedAt) > c.options.Election {
 			continue
 		}
-		if best == "" || c.Match(id) > c.Match(best) {
-			best = id
+		if target == "" || c.Match(id) > c.Match(target) {
+			target = id
 		}
 	}
-	if best == "" {
+	if target == "" {
 		return false
 	}
-	c.transferTo = best
-	c.transferEnds = now.Add(c.options.Election)
-	c.continueTransfer()
+	c.transferTo = target
+	c.transferDeadline = now.Add(c.options.Election)
+	c.sendTimeoutNowIfCaughtUp()
 	return true
 }
 
-func (c *Core) continueTransfer() {
+func (c *Core) sendTimeoutNowIfCaughtUp() {
 	if c.transferTo == "" || c.Match(c.transferTo) < c.log.lastIndex() {
 		return
 	}
 	c.send(Message{Kind: MsgTimeoutNow, To: c.transferTo})
 }
 
-// MembersAt returns the membership at an applied index, for a snapshot there.
+// MembersAt returns the membership in effect at an applied index, for a snapshot at that index.
 func (c *Core) MembersAt(index uint64) Members { return c.log.membersAt(index) }
 
-// TermAt returns the term of an index that the log holds.
+// TermAt returns the term of an entry in the log.
 func (c *Core) TermAt(index uint64) uint64 {
 	term, _ := c.log.term(index)
 	return term
 }
 
 func (c *Core) resetElection(now time.Time) {
-	spread := time.Duration(c.rand.Int64N(int64(c.options.Election)))
-	c.electionAt = now.Add(c.options.Election + spread)
+	jitter := time.Duration(c.rand.Int64N(int64(c.options.Election)))
+	c.electionAt = now.Add(c.options.Election + jitter)
 }
 
-// preVoteRounds is after how many heartbeats' times a pre-candidate asks again, at least
-// and in spread. Others may refuse because they have just started, and asking changes
-// nothing with them: a whole election time more was 0.5 s more without a leader after all
-// had lost power.
-const preVoteRounds = 2
+// preVoteRetryHeartbeats is the minimum delay before a pre-candidate retries, in heartbeat intervals,
+// and also the range of the random delay added to it. Peers refuse if they have just started
+// themselves, and a pre-vote does not change their state. Waiting a whole election timeout instead
+// adds 0.5 s without a leader after all nodes lost power.
+const preVoteRetryHeartbeats = 2
 
-// askAgainSoon sets when a pre-candidate that does not win asks again.
-func (c *Core) askAgainSoon(now time.Time) {
-	least := preVoteRounds * c.options.Heartbeat
-	c.electionAt = now.Add(least + time.Duration(c.rand.Int64N(int64(least))))
+// schedulePreVoteRetry sets when to start the next pre-vote if the current one fails.
+func (c *Core) schedulePreVoteRetry(now time.Time) {
+	minDelay := preVoteRetryHeartbeats * c.options.Heartbeat
+	c.electionAt = now.Add(minDelay + time.Duration(c.rand.Int64N(int64(minDelay))))
 }
 
-// EntriesAfter returns the entries after an index that are already durable.
+// EntriesAfter returns the durable entries after an index.
 func (c *Core) EntriesAfter(index uint64) []Entry {
-	return c.log.slice(index+1, c.stable, c.log.size())
+	return c.log.slice(index+1, c.stable, c.log.sizeLimit())
 }
 
-// LastIndex returns the last index that the disk held.
+// LastIndex returns the last index in the loaded state.
 func (s Start) LastIndex() uint64 {
 	if n := len(s.Entries); n > 0 {
 		return s.Entries[n-1].Index
@@ -332,7 +333,7 @@
 	return s.Snapshot.Index
 }
 
-// Members returns the membership that the disk held.
+// Members returns the membership in the loaded state.
 func (s Start) Members() Members {
 	log := memoryLog{snapshot: s.Snapshot, entries: s.Entries}
 	members, _ := log.members()
--- a/src/raft/core_test.go
+++ b/src/raft/core_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-var noon = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
-func restarted(commit uint64, entries int) *Core {
+func restartedCore(commit uint64, entries int) *Core {
 	start := Start{
 		HardState: HardState{Term: 3, Vote: "a", Commit: commit},
 		Snapshot:  Snapshot{Members: Members{Voters: []ID{"a", "b", "c"}}},
@@ -19,56 +19,56 @@
 	for i := 1; i <= entries; i++ {
 		start.Entries = append(start.Entries, Entry{Term: 3, Index: uint64(i), Data: []byte{byte(i)}})
 	}
-	return New("a", start, DefaultOptions(), rand.New(rand.NewPCG(1, 1)), noon)
+	return New("a", start, DefaultOptions(), rand.New(rand.NewPCG(1, 1)), startTime)
 }
 
-func TestARestartAppliesWhatWasKnownToBeCommitted(t *testing.T) {
+func TestRestartAppliesKnownCommits(t *testing.T) {
 	is := is.New(t)
-	c := restarted(2, 3)
-	is.Equal(len(c.Ready(noon).Committed), 2) // the third may yet be overruled
-	is.True(!c.ReadSafe(noon))                // and there may be newer ones elsewhere
+	c := restartedCore(2, 3)
+	is.Equal(len(c.Ready(startTime).Committed), 2) // the third may still be replaced by another leader
+	is.True(!c.ReadSafe(startTime))                // other nodes may have later entries
 }
 
-func TestARestartAppliesNoMoreThanTheDiskHolds(t *testing.T) {
+func TestRestartAppliesOnlyEntriesOnDisk(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(restarted(9, 3).Ready(noon).Committed), 3)
-	is.Equal(len(restarted(0, 3).Ready(noon).Committed), 0)
+	is.Equal(len(restartedCore(9, 3).Ready(startTime).Committed), 3)
+	is.Equal(len(restartedCore(0, 3).Ready(startTime).Committed), 0)
 }
 
-// TestAPreCandidateAsksAgainSoon: after a loss of power the others may not vote yet when it
-// asks first, and nothing is decided before there is a leader.
-func TestAPreCandidateAsksAgainSoon(t *testing.T) {
+// TestPreCandidateRetriesSoon: after a power loss of all nodes the others may not be ready to vote when
+// a pre-candidate asks first. Without a quick retry the cluster stays without a leader for longer.
+func TestPreCandidateRetriesSoon(t *testing.T) {
 	is := is.New(t)
-	c := restarted(3, 3)
-	asked := 0
-	for now := noon; now.Before(noon.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
+	c := restartedCore(3, 3)
+	requests := 0
+	for now := startTime; now.Before(startTime.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		c.Tick(now)
 		ready := c.Ready(now)
 		c.Persisted(now, ready)
-		asked += len(ready.Messages) / 2
+		requests += len(ready.Messages) / 2
 	}
-	is.True(asked >= 5)
-	is.Equal(c.Term(), uint64(3)) // and disturbs nobody
+	is.True(requests >= 5)
+	is.Equal(c.Term(), uint64(3)) // pre-votes do not increase the term
 }
 
-func TestCommitIsWrittenOnlyWithSomethingElse(t *testing.T) {
+func TestCommitIndexAloneIsNotWritten(t *testing.T) {
 	is := is.New(t)
-	c := restarted(0, 3)
-	c.Persisted(noon, c.Ready(noon))
-	c.Step(noon, Message{Kind: MsgAppend, From: "b", To: "a", Term: 3, Index: 3, LogTerm: 3, Commit: 3})
-	ready := c.Ready(noon)
-	is.True(ready.HardState == nil) // no sync for a commit alone
+	c := restartedCore(0, 3)
+	c.Persisted(startTime, c.Ready(startTime))
+	c.Step(startTime, Message{Kind: MsgAppend, From: "b", To: "a", Term: 3, Index: 3, LogTerm: 3, Commit: 3})
+	ready := c.Ready(startTime)
+	is.True(ready.HardState == nil) // a new commit index alone causes no write
 	is.Equal(len(ready.Committed), 3)
-	c.Persisted(noon, ready)
-	c.Step(noon, Message{Kind: MsgAppend, From: "b", To: "a", Term: 3, Index: 3, LogTerm: 3, Commit: 3, Entries: []Entry{{Term: 3, Index: 4}}})
-	ready = c.Ready(noon)
+	c.Persisted(startTime, ready)
+	c.Step(startTime, Message{Kind: MsgAppend, From: "b", To: "a", Term: 3, Index: 3, LogTerm: 3, Commit: 3, Entries: []Entry{{Term: 3, Index: 4}}})
+	ready = c.Ready(startTime)
 	is.True(ready.HardState != nil)
 	is.Equal(ready.HardState.Commit, uint64(3))
 }
 
-// TestTheMembershipFollowsTheLog, whatever is appended, replaced and cut: it is kept beside
-// the log, which may be long.
-func TestTheMembershipFollowsTheLog(t *testing.T) {
+// TestCachedMembershipMatchesLog guards against a stale cached membership after entries
+// are appended, replaced or compacted.
+func TestCachedMembershipMatchesLog(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(7, 7))
 	log := memoryLog{snapshot: Snapshot{Members: Members{Voters: []ID{"a#0"}}}}
@@ -93,24 +93,24 @@
 	}
 }
 
-// TestAFollowerIsCertainOnlyOfWhatItHasApplied: the leader's word that more is committed
-// than this node holds confirms nothing.
-func TestAFollowerIsCertainOnlyOfWhatItHasApplied(t *testing.T) {
+// TestFollowerConfirmsOnlyAppliedCommits: Confirmed must not advance when the leader has
+// committed entries that this node does not have.
+func TestFollowerConfirmsOnlyAppliedCommits(t *testing.T) {
 	is := is.New(t)
-	c := restarted(0, 0)
+	c := restartedCore(0, 0)
 	is.True(c.Confirmed().IsZero())
-	hear := func(now time.Time, m Message) {
+	receiveAppend := func(now time.Time, m Message) {
 		m.Kind, m.From, m.To, m.Term = MsgAppend, "b", "a", 4
 		c.Step(now, m)
 		for ready := c.Ready(now); !ready.Empty(); ready = c.Ready(now) {
 			c.Persisted(now, ready)
 		}
 	}
-	hear(noon, Message{})
-	is.Equal(c.Confirmed(), noon)
-	later := noon.Add(time.Second)
-	hear(later, Message{Commit: 1, Index: 1, LogTerm: 4}) // it lacks the entry
-	is.Equal(c.Confirmed(), noon)
-	hear(later, Message{Commit: 1, Entries: []Entry{{Term: 4, Index: 1}}})
+	receiveAppend(startTime, Message{})
+	is.Equal(c.Confirmed(), startTime)
+	later := startTime.Add(time.Second)
+	receiveAppend(later, Message{Commit: 1, Index: 1, LogTerm: 4}) // entry 1 is missing
+	is.Equal(c.Confirmed(), startTime)
+	receiveAppend(later, Message{Commit: 1, Entries: []Entry{{Term: 4, Index: 1}}})
 	is.Equal(c.Confirmed(), later)
 }
--- a/src/raft/doc.go
+++ b/src/raft/doc.go
@@ -1,6 +1,6 @@
-// Package raft is moorspool's own consensus core. It is a pure state machine:
-// messages and the present time go in, messages and writes come out; disk and
-// network belong to the caller.
+// Package raft implements the Raft consensus algorithm for the control nodes. Core is a pure state
+// machine: it takes messages and the current time, and returns messages to send and data to write.
+// The caller does all disk and network I/O.
 //
 // The algorithm follows D. Ongaro and J. Ousterhout, "In Search of an
 // Understandable Consensus Algorithm" (2014), with pre-vote, check-quorum and
@@ -12,10 +12,10 @@
 //	  Tick(now) ────────────────────────▶  elections, heartbeats, lease
 //	  Propose(now, data) ───────────────▶  entry appended in memory
 //	  Ready(now) ◀───────────────────────  a write, messages, committed entries
-//	  (begin the write; send the messages, apply the entries)
-//	  Persisted(now, ready) ────────────▶  messages that waited for it, the own copy counts
+//	  (start the write; send the messages, apply the entries)
+//	  Persisted(now, ready) ────────────▶  messages that waited for the write, the local copy counts
 //
-// One write is under way at a time, and the core goes on meanwhile: storage beside the core, with its
-// completion as an input, is chapter 10.2.1 of the dissertation. A message that tells a term, a vote or
-// the acceptance of entries is held with the write that makes it durable.
+// Only one write is in flight at a time, and the core keeps working meanwhile: the disk runs in parallel
+// and its completion is an input (chapter 10.2.1 of the dissertation). A message that reports a term, a
+// vote or accepted entries is held until the write that makes them durable has completed.
 package raft
--- a/src/raft/durable.go
+++ b/src/raft/durable.go
@@ -2,248 +2,250 @@
 
 import "time"
 
-// writeMemory is for how long the time that a write took tells what the next one will take.
-const writeMemory = 10 * time.Second
+// durationMaxAge is how long the duration of a completed write is used to estimate that of the next.
+const durationMaxAge = 10 * time.Second
 
 const (
-	// maxDoublings and longestVoteWait bound the time that is left for the votes of others.
-	maxDoublings    = 4
-	longestVoteWait = 30 * time.Second
-	// longestWrite bounds what a write tells of the next one: a host may have been suspended
-	// during it.
-	longestWrite = 5 * time.Second
+	// maxVoteWaitDoublings and maxVoteWait limit how long a node waits for the votes of others.
+	maxVoteWaitDoublings = 4
+	maxVoteWait          = 30 * time.Second
+	// maxExpectedDuration limits the estimated duration of a write. A longer measurement may only mean
+	// that the host was suspended during the write.
+	maxExpectedDuration = 5 * time.Second
 )
 
-// writing is what the core knows of the writes that it hands out, one at a time.
-type writing struct {
-	// busy is set while the disk has a write, beganAt is when it was handed out.
-	busy    bool
-	beganAt time.Time
-	// took is how long a write took that ended at endedAt.
-	took    time.Duration
-	endedAt time.Time
-	// held are the messages that must not be sent before what they tell is durable; those in
-	// covered are so once the write under way is.
-	held    []Message
-	covered []Message
+// writeState tracks the writes handed to the caller, of which at most one is in flight, and the messages
+// that wait for them.
+type writeState struct {
+	// inFlight is set while a write is in flight; startedAt is when it was handed out.
+	inFlight  bool
+	startedAt time.Time
+	// duration is how long the write that completed at endedAt took, or half the previous estimate if that
+	// is longer.
+	duration time.Duration
+	endedAt  time.Time
+	// heldForCurrent are messages to send when the write in flight completes, and heldForNext those to send
+	// when the write after it completes.
+	heldForNext    []Message
+	heldForCurrent []Message
 }
 
-// begin notes that a write is handed out.
-func (w *writing) begin(now time.Time) {
-	w.busy = true
-	w.beganAt = now
+// begin records the start of a write.
+func (w *writeState) begin(now time.Time) {
+	w.inFlight = true
+	w.startedAt = now
 }
 
-// end notes that the write under way has ended.
-func (w *writing) end(now time.Time) {
-	took := now.Sub(w.beganAt)
-	w.busy = false
-	w.took = max(took, w.usual(now)/2)
+// end records the completion of the write in flight.
+func (w *writeState) end(now time.Time) {
+	duration := now.Sub(w.startedAt)
+	w.inFlight = false
+	w.duration = max(duration, w.expectedDuration(now)/2)
 	w.endedAt = now
 }
 
-// usual returns how long writes take, as far as the last ones and the one under way tell.
-func (w *writing) usual(now time.Time) time.Duration {
+// expectedDuration estimates how long a write takes, from recent writes and the one in flight.
+func (w *writeState) expectedDuration(now time.Time) time.Duration {
 	var longest time.Duration
-	if now.Sub(w.endedAt) < writeMemory {
-		longest = w.took
+	if now.Sub(w.endedAt) < durationMaxAge {
+		longest = w.duration
 	}
-	return min(max(longest, w.age(now)), longestWrite)
+	return min(max(longest, w.age(now)), maxExpectedDuration)
 }
 
-// age returns for how long the write under way has been, 0 if there is none.
-func (w *writing) age(now time.Time) time.Duration {
-	if !w.busy {
+// age returns how long the write in flight has been running, or 0 if there is none.
+func (w *writeState) age(now time.Time) time.Duration {
+	if !w.inFlight {
 		return 0
 	}
-	return now.Sub(w.beganAt)
+	return now.Sub(w.startedAt)
 }
 
-// hold keeps a message until all that is in memory now is durable. Of several answers to one leader
-// the latest says all, so that what is held is bounded.
-func (w *writing) hold(m Message) {
-	for i, before := range w.held {
-		if m.Kind != MsgAppendReply || before.Kind != m.Kind || before.To != m.To || before.Term != m.Term {
+// hold queues a message until everything now in memory is durable. An append reply replaces an earlier
+// one to the same leader, which bounds the queue.
+func (w *writeState) hold(m Message) {
+	for i, queued := range w.heldForNext {
+		if m.Kind != MsgAppendReply || queued.Kind != m.Kind || queued.To != m.To || queued.Term != m.Term {
 			continue
 		}
-		if !m.Reject && !before.Reject {
-			m.Index = max(m.Index, before.Index)
+		if !m.Reject && !queued.Reject {
+			m.Index = max(m.Index, queued.Index)
 		}
-		w.held = append(w.held[:i], w.held[i+1:]...)
+		w.heldForNext = append(w.heldForNext[:i], w.heldForNext[i+1:]...)
 		break
 	}
-	w.held = append(w.held, m)
+	w.heldForNext = append(w.heldForNext, m)
 }
 
-// Ready returns what is to be done at a time; the caller does it, and calls Persisted once the
-// writes are durable. Until then no further writes are handed out.
+// Ready returns the work to be done. The caller does it and calls Persisted once the writes are
+// durable. No further writes are returned before that.
 func (c *Core) Ready(now time.Time) Ready {
 	var r Ready
-	if !c.disk.busy {
-		c.handOutWrite(now, &r)
+	if !c.writes.inFlight {
+		c.startWrite(now, &r)
 	}
 	r.Messages = c.messages
 	c.messages = nil
 	r.Committed = c.committedUnapplied()
 	if n := len(r.Committed); n > 0 {
 		c.applied = r.Committed[n-1].Index
-		c.confirm()
+		c.confirmApplied()
 	}
 	return r
 }
 
-// handOutWrite puts all that is not durable into a Ready. Held messages go with it, or at once if
-// there is nothing to write.
-func (c *Core) handOutWrite(now time.Time, r *Ready) {
-	r.Snapshot = c.newSnapshot
-	r.Entries = c.log.slice(c.stable+1, c.log.lastIndex(), c.log.size())
-	if !c.stateDurable() || len(r.Entries) > 0 || r.Snapshot != nil {
+// startWrite adds everything that is not durable to r. Held messages are sent when that write
+// completes, or at once if there is nothing to write.
+func (c *Core) startWrite(now time.Time, r *Ready) {
+	r.Snapshot = c.unwrittenSnapshot
+	r.Entries = c.log.slice(c.stable+1, c.log.lastIndex(), c.log.sizeLimit())
+	if !c.hardStateDurable() || len(r.Entries) > 0 || r.Snapshot != nil {
 		r.HardState = &HardState{Term: c.term, Vote: c.vote, Commit: c.commit}
 	}
-	held := c.disk.held
-	c.disk.held = nil
+	heldForNext := c.writes.heldForNext
+	c.writes.heldForNext = nil
 	if !r.Writes() {
-		c.release(held)
+		c.sendHeld(heldForNext)
 		return
 	}
-	c.disk.covered = held
-	c.disk.begin(now)
+	c.writes.heldForCurrent = heldForNext
+	c.writes.begin(now)
 }
 
-// committedUnapplied returns the entries that are to be applied next. A leader applies what a
-// majority's disks hold though its own may lag, so that it is never unsure of itself because of
-// its own disk; all others apply what their disks hold.
+// committedUnapplied returns the committed entries to apply next. A leader applies entries that are
+// durable on a majority even if its own disk is behind, so that a slow disk of its own does not make it
+// unable to serve reads. Other nodes apply only entries that are durable locally.
 func (c *Core) committedUnapplied() []Entry {
-	if c.newSnapshot != nil {
+	if c.unwrittenSnapshot != nil {
 		return nil
 	}
 	until := c.commit
 	if c.role != Leader {
 		until = min(until, c.stable)
 	}
-	return c.log.slice(c.applied+1, until, c.log.size())
+	return c.log.slice(c.applied+1, until, c.log.sizeLimit())
 }
 
-// Persisted tells the core that the writes of a Ready are durable.
+// Persisted reports that the writes of r are durable.
 func (c *Core) Persisted(now time.Time, r Ready) {
 	if !r.Writes() {
 		return
 	}
-	c.disk.end(now)
-	voted := r.HardState.Vote != "" && (r.HardState.Term != c.savedState.Term || r.HardState.Vote != c.savedState.Vote)
-	c.savedState = *r.HardState
-	c.noteDurable(r)
-	covered := c.disk.covered
-	c.disk.covered = nil
-	c.release(covered)
-	c.confirm()
+	c.writes.end(now)
+	voted := r.HardState.Vote != "" && (r.HardState.Term != c.durableState.Term || r.HardState.Vote != c.durableState.Vote)
+	c.durableState = *r.HardState
+	c.advanceStable(r)
+	heldForCurrent := c.writes.heldForCurrent
+	c.writes.heldForCurrent = nil
+	c.sendHeld(heldForCurrent)
+	c.confirmApplied()
 	if voted && c.role != Leader {
-		c.awaitVotes(now)
+		c.ownVotePersisted(now)
 	}
 	if c.role == Leader {
 		c.advanceCommit(now)
 	}
 }
 
-// noteDurable moves on how far the log is durable.
-func (c *Core) noteDurable(r Ready) {
+// advanceStable updates the index up to which the log is durable.
+func (c *Core) advanceStable(r Ready) {
 	if r.Snapshot != nil {
 		c.applied = max(c.applied, r.Snapshot.Index)
-		if c.newSnapshot != nil && c.newSnapshot.Index == r.Snapshot.Index {
-			c.newSnapshot = nil
+		if c.unwrittenSnapshot != nil && c.unwrittenSnapshot.Index == r.Snapshot.Index {
+			c.unwrittenSnapshot = nil
 		}
 	}
-	if len(r.Entries) == 0 || c.newSnapshot != nil {
+	if len(r.Entries) == 0 || c.unwrittenSnapshot != nil {
 		return
 	}
 	last := r.Entries[len(r.Entries)-1]
 	if term, found := c.log.term(last.Index); found && term == last.Term {
 		c.stable = max(c.stable, last.Index)
-		c.countUnwritten()
+		c.recountUnwritten()
 	}
 }
 
-// awaitVotes begins to wait for the end of an election for which this node's vote has become
-// durable. Other nodes may have to end a write before they write their votes, and their disks may
-// be slower than this one: each election without a result doubles the time that is left to them.
-func (c *Core) awaitVotes(now time.Time) {
-	others := min(2*c.disk.usual(now)<<min(c.failed, maxDoublings), longestVoteWait)
-	wait := c.options.Election + others
-	c.failed++
+// ownVotePersisted is called when this node's vote is durable, and sets the election timeout for the
+// result. Other nodes may have to complete a write before they write their votes, and their disks may
+// be slower than this one, so the wait doubles with each election without a result.
+func (c *Core) ownVotePersisted(now time.Time) {
+	peerWriteWait := min(2*c.writes.expectedDuration(now)<<min(c.failedElections, maxVoteWaitDoublings), maxVoteWait)
+	wait := c.options.Election + peerWriteWait
+	c.failedElections++
 	c.electionAt = now.Add(wait + time.Duration(c.rand.Int64N(int64(wait))))
-	if c.role == Candidate && c.savedState.Term == c.term {
+	if c.role == Candidate && c.durableState.Term == c.term {
 		c.votes[c.id] = true
 		c.countVotes(now)
 	}
 }
 
-// BeginCompact tells the core that the caller writes a snapshot of its own, and reports whether it
-// may: no write is under way and no snapshot of the leader's waits for one. No write is handed out
-// until Compact.
+// BeginCompact announces that the caller is about to write a snapshot of its own. It reports whether
+// that is allowed: no write may be in flight and no received snapshot may be waiting to be written. No
+// write is handed out until Compact is called.
 func (c *Core) BeginCompact(now time.Time) bool {
-	if c.disk.busy || c.newSnapshot != nil {
+	if c.writes.inFlight || c.unwrittenSnapshot != nil {
 		return false
 	}
-	c.disk.begin(now)
+	c.writes.begin(now)
 	return true
 }
 
-// Compact drops the log up to the snapshot, which the caller has saved after BeginCompact.
+// Compact removes the log entries up to a snapshot that the caller has saved after BeginCompact.
 func (c *Core) Compact(now time.Time, snapshot Snapshot) {
-	c.disk.end(now)
+	c.writes.end(now)
 	if snapshot.Index > c.log.snapshot.Index && snapshot.Index <= c.applied {
 		c.log.compact(snapshot)
 		c.stable = max(c.stable, snapshot.Index)
-		c.countUnwritten()
+		c.recountUnwritten()
 	}
 }
 
-// WriteAge returns for how long the write under way has been, 0 if there is none.
-func (c *Core) WriteAge(now time.Time) time.Duration { return c.disk.age(now) }
+// WriteAge returns how long the write in flight has been running, or 0 if there is none.
+func (c *Core) WriteAge(now time.Time) time.Duration { return c.writes.age(now) }
 
-// WriteBegan returns when the write under way was handed out, the zero time if there is none.
+// WriteBegan returns when the write in flight was handed out, or the zero time if there is none.
 func (c *Core) WriteBegan() time.Time {
-	if !c.disk.busy {
+	if !c.writes.inFlight {
 		return time.Time{}
 	}
-	return c.disk.beganAt
+	return c.writes.startedAt
 }
 
-// stateDurable reports whether term and vote are durable.
-func (c *Core) stateDurable() bool {
-	return c.savedState.Term == c.term && c.savedState.Vote == c.vote
+// hardStateDurable reports whether the current term and vote are durable.
+func (c *Core) hardStateDurable() bool {
+	return c.durableState.Term == c.term && c.durableState.Vote == c.vote
 }
 
-// durable returns up to where the log is durable, 0 while a snapshot replaces it.
-func (c *Core) durable() uint64 {
-	if c.newSnapshot != nil {
+// durableIndex returns the last durable index, or 0 while a received snapshot is replacing the log.
+func (c *Core) durableIndex() uint64 {
+	if c.unwrittenSnapshot != nil {
 		return 0
 	}
 	return c.stable
 }
 
-// countUnwritten counts the bytes of the entries that are not durable.
-func (c *Core) countUnwritten() {
-	c.unwritten = 0
+// recountUnwritten recomputes unwrittenBytes.
+func (c *Core) recountUnwritten() {
+	c.unwrittenBytes = 0
 	for _, entry := range c.log.after(c.stable) {
-		c.unwritten += len(entry.Data)
+		c.unwrittenBytes += len(entry.Data)
 	}
 }
 
-// send lets a message go, or holds it until the term or the vote that it tells is durable.
+// send sends a message at once, or holds it until the term or vote it reports is durable.
 func (c *Core) send(m Message) {
-	m = c.signed(m)
-	if c.mustWait(m) {
-		c.disk.hold(m)
+	m = c.withSender(m)
+	if c.needsDurableState(m) {
+		c.writes.hold(m)
 		return
 	}
 	c.messages = append(c.messages, m)
 }
 
-// sendDurable lets a message go once all that is in memory now is durable.
-func (c *Core) sendDurable(m Message) { c.disk.hold(c.signed(m)) }
+// sendOncePersisted sends a message once everything now in memory is durable.
+func (c *Core) sendOncePersisted(m Message) { c.writes.hold(c.withSender(m)) }
 
-func (c *Core) signed(m Message) Message {
+func (c *Core) withSender(m Message) Message {
 	m.From = c.id
 	if m.Term == 0 {
 		m.Term = c.term
@@ -251,21 +253,21 @@
 	return m
 }
 
-// mustWait reports whether a message tells a term or a vote that is not durable. Pre-votes change
-// nothing, and the term of whoever leads became durable before it was elected.
-func (c *Core) mustWait(m Message) bool {
+// needsDurableState reports whether a message reports a term or vote that is not durable yet. Pre-votes
+// change no state, and a leader's term became durable before it was elected.
+func (c *Core) needsDurableState(m Message) bool {
 	switch m.Kind {
 	case MsgVote, MsgVoteReply:
-		return !c.stateDurable()
+		return !c.hardStateDurable()
 	case MsgAppendReply:
-		return c.savedState.Term != c.term
+		return c.durableState.Term != c.term
 	}
 	return false
 }
 
-// release lets messages go whose content is durable now. What belongs to an earlier term or to an
-// election that is over is left out, as if the network had lost it.
-func (c *Core) release(messages []Message) {
+// sendHeld sends messages whose content is now durable. Those of an earlier term or of a finished
+// election are dropped; Raft tolerates lost messages.
+func (c *Core) sendHeld(messages []Message) {
 	for _, m := range messages {
 		if m.Term != c.term || m.Kind == MsgVote && c.role != Candidate {
 			continue
--- a/src/raft/election.go
+++ b/src/raft/election.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Tick lets time pass: elections, heartbeats and the leader's own lease.
+// Tick handles elapsed timeouts: elections, heartbeats and the leader's lease.
 func (c *Core) Tick(now time.Time) {
 	if c.role == Leader {
 		c.tickLeader(now)
 		return
 	}
-	if now.Before(c.electionAt) || c.disk.busy || !c.stateDurable() {
-		// A node whose disk is behind could not make its own vote durable soon.
+	if now.Before(c.electionAt) || c.writes.inFlight || !c.hardStateDurable() {
+		// A vote of this node would have to wait for the write that is in flight or outstanding.
 		return
 	}
 	if !c.Members().IsVoter(c.id) {
 		c.resetElection(now)
 		return
 	}
-	c.askAgainSoon(now)
+	c.schedulePreVoteRetry(now)
 	c.campaign(now, PreCandidate, false)
 }
 
-// NextTick returns the time at which Tick next has something to do.
+// NextTick returns when Tick has to be called next.
 func (c *Core) NextTick() time.Time {
 	if c.role == Leader {
 		return c.heartbeatAt
@@ -29,14 +29,14 @@
 }
 
 func (c *Core) tickLeader(now time.Time) {
-	if c.transferTo != "" && now.After(c.transferEnds) {
+	if c.transferTo != "" && now.After(c.transferDeadline) {
 		c.transferTo = ""
 	}
-	if c.othersAreAhead(now) {
+	if c.ownDiskIsSlow(now) {
 		c.Transfer(now)
 	}
 	if c.transferTo == "" && !c.LeaseValid(now) && now.Sub(c.leaderSeenAt) > c.options.Lease {
-		// Check-quorum: a leader that may have been replaced stops by itself.
+		// Check-quorum: the lease has expired, so there may be another leader.
 		c.becomeFollower(now, c.term, "")
 		return
 	}
@@ -61,10 +61,9 @@
 	c.resetElection(now)
 }
 
-// campaign asks for votes. A candidate's own vote counts, and its requests leave, once the vote is
-// durable. A pre-candidate asks whether it could win without
-// raising its term, so that a control node that was cut off disturbs nobody when it
-// comes back.
+// campaign starts a pre-vote or an election. The requests of a candidate are sent and its own vote is
+// counted once that vote is durable. A pre-candidate asks whether it could win without increasing its
+// term, so that a node that was partitioned does not depose a working leader when it reconnects.
 func (c *Core) campaign(now time.Time, as Role, force bool) {
 	c.role = as
 	c.leader = ""
@@ -111,16 +110,16 @@
 	c.rounds = nil
 	c.leaderSeenAt = now
 	c.ledSince = now
-	c.timing = timing{}
-	c.settling = settling{}
-	c.failed = 0
+	c.commitLatency = commitLatency{}
+	c.quorumPersisted = quorumPersisted{}
+	c.failedElections = 0
 	c.trackMembers(now)
-	// An entry of the own term: only with it can earlier ones be counted as committed.
+	// Entries of earlier terms are committed only through an entry of the current term.
 	_, _, _ = c.appendOwn(now, Entry{Kind: EntryCommand})
 	c.heartbeatAt = now.Add(c.options.Heartbeat)
 }
 
-// trackMembers starts following new members and forgets those that left.
+// trackMembers creates the progress of new members and deletes that of removed ones.
 func (c *Core) trackMembers(now time.Time) {
 	members := c.Members()
 	for _, id := range members.All() {
@@ -135,14 +134,14 @@
 	}
 }
 
-// Step takes in one message.
+// Step handles a received message.
 func (c *Core) Step(now time.Time, m Message) {
 	switch m.Kind {
 	case MsgPreVote:
 		c.stepPreVote(now, m)
 		return
 	case MsgVote:
-		if !c.mayVote(now, m) {
+		if !c.mayConsiderVote(now, m) {
 			return
 		}
 	}
@@ -154,7 +153,7 @@
 		c.becomeFollower(now, m.Term, leader)
 	}
 	if m.Term < c.term {
-		c.answerStale(m)
+		c.rejectStale(m)
 		return
 	}
 	switch m.Kind {
@@ -180,31 +179,32 @@
 	}
 }
 
-// answerStale tells a leader of an older term about the present one.
-func (c *Core) answerStale(m Message) {
+// rejectStale informs the leader of an older term about the current term.
+func (c *Core) rejectStale(m Message) {
 	if m.Kind == MsgAppend || m.Kind == MsgSnapshot {
 		c.send(Message{Kind: MsgAppendReply, To: m.From, Reject: true})
 	}
 }
 
-// followsLeader reports whether a leader was heard of so lately that its lease may still run.
-func (c *Core) followsLeader(now time.Time) bool {
+// leaderLeaseMayBeValid reports whether a leader was heard from so recently that its lease may still be
+// valid.
+func (c *Core) leaderLeaseMayBeValid(now time.Time) bool {
 	if c.role == Leader {
 		return c.LeaseValid(now)
 	}
-	if now.Before(c.quietUntil) {
+	if now.Before(c.noVoteUntil) {
 		return true
 	}
 	return c.leader != "" && now.Sub(c.leaderSeenAt) < c.options.Election
 }
 
-// mayVote keeps a leader's lease true: nobody votes while one may run, unless
-// the leader itself chose the candidate.
-func (c *Core) mayVote(now time.Time, m Message) bool {
-	return m.Force || !c.followsLeader(now)
+// mayConsiderVote reports whether a vote request may be handled. While a leader's lease may be valid
+// no vote is granted, except to a candidate that the leader itself transfers leadership to.
+func (c *Core) mayConsiderVote(now time.Time, m Message) bool {
+	return m.Force || !c.leaderLeaseMayBeValid(now)
 }
 
-func (c *Core) upToDate(m Message) bool {
+func (c *Core) candidateUpToDate(m Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
 	}
@@ -212,11 +212,11 @@
 }
 
 func (c *Core) stepPreVote(now time.Time, m Message) {
-	reject := c.followsLeader(now) || m.Term <= c.term || !c.upToDate(m)
+	reject := c.leaderLeaseMayBeValid(now) || m.Term <= c.term || !c.candidateUpToDate(m)
 	reply := Message{Kind: MsgPreVoteReply, To: m.From, Term: m.Term, Reject: reject}
 	if reject {
-		// The own term, so that a control node behind it catches up with the term.
-		reply.Term = c.savedState.Term
+		// The reply carries this node's term so that a sender with an older term can update its own.
+		reply.Term = c.durableState.Term
 	}
 	c.send(reply)
 }
@@ -235,7 +235,7 @@
 }
 
 func (c *Core) stepVote(now time.Time, m Message) {
-	grant := (c.vote == "" || c.vote == m.From) && c.leader == "" && c.upToDate(m)
+	grant := (c.vote == "" || c.vote == m.From) && c.leader == "" && c.candidateUpToDate(m)
 	if grant {
 		c.vote = m.From
 		c.resetElection(now)
--- a/src/raft/certainty.go
+++ b/src/raft/lease.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ReadSafe reports whether this node's applied state is the newest accepted one:
-// it leads under a valid lease and has committed an entry of its own term.
+// ReadSafe reports whether this node's applied state includes every committed change:
+// it is the leader with a valid lease and has committed an entry of its own term.
 func (c *Core) ReadSafe(now time.Time) bool { return now.Before(c.ReadSafeUntil()) }
 
-// ReadSafeUntil returns until when ReadSafe holds if nothing changes, the zero time if it
-// does not hold.
+// ReadSafeUntil returns when ReadSafe stops holding if nothing changes, or the zero time if it
+// does not hold now.
 func (c *Core) ReadSafeUntil() time.Time {
 	if !c.committedInTerm() || c.applied != c.commit {
 		return time.Time{}
@@ -18,19 +18,19 @@
 	return c.leaseEnd()
 }
 
-// Confirmed returns when this node last heard a leader say that nothing beyond what it had
-// applied was committed, the zero time if it never did. A leader is sure of itself by
-// ReadSafe.
+// Confirmed returns the latest time at which this node, as a follower, heard from a leader and had
+// applied everything the leader had committed; or at which it was a leader for which ReadSafe held,
+// once it has stepped down. It is the zero time if there was none. For a current leader use ReadSafe.
 func (c *Core) Confirmed() time.Time { return c.confirmedAt }
 
-// confirm notes that all that the leader last said to be committed is applied.
-func (c *Core) confirm() {
+// confirmApplied updates confirmedAt if everything the leader last reported as committed is applied.
+func (c *Core) confirmApplied() {
 	if c.role == Follower && c.leader != "" && c.applied >= c.leaderCommit {
 		c.confirmedAt = c.leaderSeenAt
 	}
 }
 
-// confirmAsLeader keeps until when a leader that gives up was sure of itself.
+// confirmAsLeader sets confirmedAt to the latest time ReadSafe held, before a leader steps down.
 func (c *Core) confirmAsLeader(now time.Time) {
 	until := c.ReadSafeUntil()
 	if until.After(now) {
@@ -41,30 +41,31 @@
 	}
 }
 
-// LeaseValid reports whether this leader has heard from a quorum so lately that
+// LeaseValid reports whether this leader has had contact with a quorum so recently that
 // no other leader can have been elected.
 func (c *Core) LeaseValid(now time.Time) bool { return now.Before(c.leaseEnd()) }
 
-// leaseEnd returns when the leader's lease ends, the zero time if the node has none.
+// leaseEnd returns when the leader's lease ends, or the zero time if this node has no lease.
 func (c *Core) leaseEnd() time.Time {
 	if c.role != Leader || c.transferTo != "" {
 		return time.Time{}
 	}
-	contact := c.quorumContact()
-	if contact.IsZero() {
-		return contact
+	lastContact := c.quorumContact()
+	if lastContact.IsZero() {
+		return lastContact
 	}
-	return contact.Add(c.options.Lease)
+	return lastContact.Add(c.options.Lease)
 }
 
-// quorumContact returns the latest time at which a quorum is known to have
-// followed this leader: the send time of what it answered, not the answer's.
+// quorumContact returns the latest time at which a quorum is known to have followed this leader.
+// For each member this is when the leader sent the message that the member acknowledged, not when
+// the acknowledgment arrived.
 func (c *Core) quorumContact() time.Time {
 	members := c.Members()
 	var times []time.Time
 	for _, id := range members.Voters {
 		if id == c.id {
-			times = append(times, c.latestSend())
+			times = append(times, c.latestRoundSentAt())
 			continue
 		}
 		if p := c.progress[id]; p != nil {
@@ -78,7 +79,7 @@
 	return times[members.Quorum()-1]
 }
 
-func (c *Core) latestSend() time.Time {
+func (c *Core) latestRoundSentAt() time.Time {
 	if len(c.rounds) == 0 {
 		return time.Time{}
 	}
--- a/src/raft/log.go
+++ b/src/raft/log.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// memoryLog holds the entries after the latest snapshot.
+// memoryLog holds the latest snapshot and the entries after it.
 type memoryLog struct {
 	snapshot Snapshot
 	entries  []Entry
-	// membership is the membership in force, nil until it is asked for: it is asked for
-	// several times for each message, and the log may hold thousands of entries after it.
+	// membership caches the membership in effect; nil means unknown. It is needed several times per
+	// message, and finding it may take a scan of thousands of entries.
 	membership *membership
 }
 
-// membership is a membership with the index that it came with.
+// membership is a set of members and the log index of the entry that set it.
 type membership struct {
 	members Members
 	index   uint64
@@ -26,7 +26,7 @@
 	return term
 }
 
-// term returns the term at an index, false if the log does not hold it.
+// term returns the term of the entry at an index, or false if it is not in the log.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -37,7 +37,7 @@
 	return l.entries[index-l.firstIndex()].Term, true
 }
 
-// slice returns the entries of [from, to], at most limit of them.
+// slice returns a copy of the entries in [from, to], at most limit of them.
 func (l *memoryLog) slice(from, to uint64, limit int) []Entry {
 	if to > l.lastIndex() {
 		to = l.lastIndex()
@@ -52,10 +52,10 @@
 	return append([]Entry(nil), l.entries[from-first:to-first+1]...)
 }
 
-// size bounds the entries of a slice that is to have all of them.
-func (l *memoryLog) size() int { return max(len(l.entries), 1) }
+// sizeLimit returns the limit to pass to slice to get all entries.
+func (l *memoryLog) sizeLimit() int { return max(len(l.entries), 1) }
 
-// after returns the entries after an index; they must not be changed.
+// after returns the entries after an index. The caller must not modify them.
 func (l *memoryLog) after(index uint64) []Entry {
 	if index >= l.lastIndex() {
 		return nil
@@ -63,7 +63,8 @@
 	return l.entries[index+1-l.firstIndex():]
 }
 
-// append puts entries at their indexes and returns the first index that changed, 0 if none did.
+// append stores entries at their indexes, truncating the log at the first entry whose term differs. It
+// returns the first index that changed, or 0 if none did.
 func (l *memoryLog) append(entries []Entry) uint64 {
 	for i, entry := range entries {
 		if entry.Index <= l.snapshot.Index {
@@ -73,22 +74,23 @@
 			continue
 		}
 		keep := entry.Index - l.firstIndex()
-		l.noteAppend(int(keep), entries[i:])
+		l.invalidateMembership(int(keep), entries[i:])
 		l.entries = append(l.entries[:keep], entries[i:]...)
 		return entry.Index
 	}
 	return 0
 }
 
-// noteAppend forgets the membership if entries that are dropped or come may change it.
-func (l *memoryLog) noteAppend(keep int, entries []Entry) {
-	changes := func(entry Entry) bool { return entry.Kind == EntryMembers }
-	if slices.ContainsFunc(l.entries[keep:], changes) || slices.ContainsFunc(entries, changes) {
+// invalidateMembership clears the cached membership if a membership entry is removed or added.
+func (l *memoryLog) invalidateMembership(keep int, entries []Entry) {
+	isMembersEntry := func(entry Entry) bool { return entry.Kind == EntryMembers }
+	if slices.ContainsFunc(l.entries[keep:], isMembersEntry) || slices.ContainsFunc(entries, isMembersEntry) {
 		l.membership = nil
 	}
 }
 
-// members returns the membership in force: the last one in the log, committed or not.
+// members returns the membership in effect and the index that set it. This is the last one in the log,
+// whether or not it is committed.
 func (l *memoryLog) members() (Members, uint64) {
 	if l.membership == nil {
 		l.membership = l.findMembership()
@@ -105,7 +107,7 @@
 	return &membership{members: l.snapshot.Members, index: l.snapshot.Index}
 }
 
-// membersAt returns the membership in force at an index.
+// membersAt returns the membership in effect at an index.
 func (l *memoryLog) membersAt(index uint64) Members {
 	members := l.snapshot.Members
 	for _, entry := range l.entries {
@@ -119,7 +121,7 @@
 	return members
 }
 
-// compact drops the entries up to the snapshot's index.
+// compact replaces the entries up to the snapshot's index by the snapshot.
 func (l *memoryLog) compact(snapshot Snapshot) {
 	if snapshot.Index >= l.lastIndex() {
 		l.entries = nil
--- a/src/raft/message.go
+++ b/src/raft/message.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// ID names one control node with the identity of its data folder. A control node whose
-// disk came back empty has another ID, so that it never votes as the old one.
+// ID identifies a control node together with its data folder. A control node whose disk was replaced
+// by an empty one gets another ID, so it cannot vote twice in a term under the old one.
 type ID string
 
-// EntryKind says what an entry's data is.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
-// The kinds of entry.
+// Entry kinds.
 const (
 	// EntryCommand carries data for the state machine.
 	EntryCommand EntryKind = iota
-	// EntryMembers carries a Members value for the core itself.
+	// EntryMembers carries a membership change, which Core itself handles.
 	EntryMembers
 )
 
-// Entry is one place in the log.
+// Entry is a log entry.
 type Entry struct {
 	Term    uint64    `json:"t"`
 	Index   uint64    `json:"i"`
@@ -26,7 +26,7 @@
 	Members *Members  `json:"m,omitempty"`
 }
 
-// Members is who takes part: voters decide, learners only receive.
+// Members is the membership of the Raft group: voters count for quorums, learners only receive the log.
 type Members struct {
 	Voters   []ID `json:"voters"`
 	Learners []ID `json:"learners,omitempty"`
@@ -45,7 +45,7 @@
 // IsVoter reports whether id may vote.
 func (m Members) IsVoter(id ID) bool { return slices.Contains(m.Voters, id) }
 
-// IsLearner reports whether id only receives.
+// IsLearner reports whether id is a learner.
 func (m Members) IsLearner(id ID) bool { return slices.Contains(m.Learners, id) }
 
 // All returns voters and learners.
@@ -53,25 +53,25 @@
 	return append(append([]ID(nil), m.Voters...), m.Learners...)
 }
 
-// WithLearner returns the members with id as a learner.
+// WithLearner returns a copy with id as a learner.
 func (m Members) WithLearner(id ID) Members {
 	return Members{Voters: m.Voters, Learners: append(without(m.Learners, id), id)}
 }
 
-// WithVoter returns the members with id as a voter.
+// WithVoter returns a copy with id as a voter instead of a learner.
 func (m Members) WithVoter(id ID) Members {
 	return Members{Voters: append(without(m.Voters, id), id), Learners: without(m.Learners, id)}
 }
 
-// Without returns the members less id.
+// Without returns a copy without id.
 func (m Members) Without(id ID) Members {
 	return Members{Voters: without(m.Voters, id), Learners: without(m.Learners, id)}
 }
 
-// Quorum returns the number of voters that decide.
+// Quorum returns the number of voters in a majority.
 func (m Members) Quorum() int { return len(m.Voters)/2 + 1 }
 
-// votersChanged counts the voters that only one side has.
+// votersChanged returns the number of voters that are in only one of the two memberships.
 func (m Members) votersChanged(other Members) int {
 	changed := 0
 	for _, id := range m.Voters {
@@ -87,10 +87,10 @@
 	return changed
 }
 
-// MessageKind says what a message is for.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
-// The kinds of message.
+// Message kinds.
 const (
 	MsgPreVote MessageKind = iota + 1
 	MsgPreVoteReply
@@ -107,26 +107,28 @@
 // String returns the kind's name.
 func (k MessageKind) String() string { return messageNames[k] }
 
-// Message goes from one control node to another.
+// Message is a message between control nodes.
 type Message struct {
 	Kind MessageKind `json:"kind"`
 	From ID          `json:"from"`
 	To   ID          `json:"to"`
 	Term uint64      `json:"term"`
-	// LogTerm and Index are the place before Entries, or the sender's last place in votes.
+	// LogTerm and Index identify the entry before Entries, or the sender's last entry in vote requests.
 	LogTerm uint64  `json:"logTerm,omitempty"`
 	Index   uint64  `json:"index,omitempty"`
 	Entries []Entry `json:"entries,omitempty"`
 	Commit  uint64  `json:"commit,omitempty"`
 	Reject  bool    `json:"reject,omitempty"`
-	// Round numbers a leader's sends, so that a reply proves when contact was made.
+	// Round is the number of the leader's broadcast. A reply repeats it, which shows the leader when the
+	// message that was acknowledged was sent.
 	Round    uint64    `json:"round,omitempty"`
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
-	// Force lets a candidate that the leader chose be voted for at once.
+	// Force asks for a vote even if the old leader's lease may be valid, since that leader
+	// itself transfers leadership to the candidate.
 	Force bool `json:"force,omitempty"`
 }
 
-// Snapshot is the state machine's state at a place in the log.
+// Snapshot is the state machine's state at a log index.
 type Snapshot struct {
 	Term    uint64  `json:"term"`
 	Index   uint64  `json:"index"`
@@ -134,33 +136,32 @@
 	Data    []byte  `json:"data"`
 }
 
-// HardState must be durable before any message that follows from it is sent.
+// HardState is the state that must be durable before any message that depends on it is sent.
 type HardState struct {
 	Term uint64 `json:"term"`
 	Vote ID     `json:"vote"`
-	// Commit is how far the log was known to be committed when the state was
-	// written, which is whenever something else is: a restart need not wait for a
-	// leader to know that much.
+	// Commit is the commit index known at the time of writing. It is written only together with
+	// something else, and lets a restarted node apply entries up to it without waiting for a leader.
 	Commit uint64 `json:"commit,omitempty"`
 }
 
-// Ready is what the caller has to do next. The writes may be done beside all else, one Ready's
-// after the other's.
+// Ready is the work for the caller. Writes may run in parallel to everything else, but must be done in
+// the order of their Readys.
 type Ready struct {
-	// HardState is to be written, if not nil; it is there whenever something else is.
+	// HardState is written if it is not nil; it is set whenever anything else has to be written.
 	HardState *HardState
-	// Snapshot is to be written and to replace the whole log, if not nil; the state machine
-	// takes it over once it is durable.
+	// Snapshot, if not nil, is written and replaces the whole log. The state machine loads
+	// it once it is durable.
 	Snapshot *Snapshot
-	// Entries are to be written; they replace all from the first one's index on.
+	// Entries are written and replace all entries from the index of the first one on.
 	Entries []Entry
-	// Messages are to be sent now, whatever is under way on the disk.
+	// Messages are sent immediately, regardless of any write in flight.
 	Messages []Message
-	// Committed entries are to be applied in order.
+	// Committed entries are applied in order.
 	Committed []Entry
 }
 
-// Writes reports whether there is something to be written.
+// Writes reports whether there is anything to write.
 func (r Ready) Writes() bool { return r.HardState != nil }
 
 // Empty reports whether there is nothing to do.
--- a/src/raft/replicate.go
+++ b/src/raft/replicate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxInFlight bounds the entries sent to a member beyond what it has confirmed.
+// maxInFlight is the maximum number of entries sent to a member ahead of its last acknowledgment.
 const maxInFlight = 4096
 
-// roundsPerHeartbeat bounds the numbered sends of one heartbeat's time.
+// roundsPerHeartbeat is the maximum number of rounds in one heartbeat interval.
 const roundsPerHeartbeat = 8
 
 func (c *Core) heartbeat(now time.Time) {
@@ -21,7 +21,8 @@
 	}
 }
 
-// broadcast sends new entries to the members that are not being probed.
+// broadcast sends new entries to all members. A member being probed gets at most one append in each
+// heartbeat interval.
 func (c *Core) broadcast(now time.Time) {
 	number := c.startRound(now)
 	for _, id := range c.Members().All() {
@@ -31,8 +32,8 @@
 	}
 }
 
-// startRound numbers a send. Sends close together share a number and the
-// earlier one's time, so that the few remembered rounds outlast a lease.
+// startRound returns the number for a broadcast. Broadcasts shortly after one another share the number
+// and time of the first, so that the maxRounds remembered ones span more than a lease.
 func (c *Core) startRound(now time.Time) uint64 {
 	if n := len(c.rounds); n > 0 && now.Sub(c.rounds[n-1].sentAt) < c.options.Heartbeat/roundsPerHeartbeat {
 		return c.rounds[n-1].number
@@ -45,8 +46,8 @@
 	return c.nextRound
 }
 
-// roundSent returns when a round was sent, the zero time if that is forgotten.
-func (c *Core) roundSent(number uint64) time.Time {
+// roundSentAt returns when a round was sent, or the zero time if it is no longer remembered.
+func (c *Core) roundSentAt(number uint64) time.Time {
 	for _, r := range c.rounds {
 		if r.number == number {
 			return r.sentAt
@@ -64,19 +65,19 @@
 		return
 	}
 	p.sentAt = now
-	before := p.next - 1
-	term, found := c.log.term(before)
+	previous := p.next - 1
+	term, found := c.log.term(previous)
 	if !found {
 		snapshot := c.log.snapshot
 		c.send(Message{Kind: MsgSnapshot, To: to, Snapshot: &snapshot, Round: number})
 		return
 	}
-	m := Message{Kind: MsgAppend, To: to, Index: before, LogTerm: term, Commit: c.commit, Round: number}
+	m := Message{Kind: MsgAppend, To: to, Index: previous, LogTerm: term, Commit: c.commit, Round: number}
 	if p.next <= p.match+maxInFlight {
 		m.Entries = c.log.slice(p.next, c.log.lastIndex(), c.options.MaxEntries)
 	}
 	if n := len(m.Entries); n > 0 && !p.probing {
-		// Pipelining: what was sent is taken as received until a reply says otherwise.
+		// Pipelining: assume delivery until a reply says otherwise.
 		p.next = m.Entries[n-1].Index + 1
 	}
 	c.send(m)
@@ -85,53 +86,53 @@
 func (c *Core) stepAppend(now time.Time, m Message) {
 	c.followLeader(now, m.From)
 	c.leaderCommit = m.Commit
-	c.confirm()
+	c.confirmApplied()
 	last := m.Index + uint64(len(m.Entries))
 	if m.Index < c.commit {
-		// All up to commit is known to agree with any leader.
+		// Committed entries match those of any leader.
 		last = max(c.commit, last)
 	} else if term, found := c.log.term(m.Index); !found || term != m.LogTerm {
 		c.send(Message{Kind: MsgAppendReply, To: m.From, Round: m.Round, Reject: true, Index: min(c.log.lastIndex(), m.Index-1)})
 		return
 	}
-	if c.unwritten > c.options.MaxUnwritten {
-		// The leader sends them again.
+	if c.unwrittenBytes > c.options.MaxUnwrittenBytes {
+		// Ignore the entries; the leader will send them again.
 		m.Entries = nil
 		last = max(m.Index, min(c.commit, last))
 	}
-	grown := c.acceptEntries(m)
+	appended := c.acceptEntries(m)
 	c.commitTo(min(m.Commit, last))
-	c.answerAppend(m, last, grown)
+	c.replyToAppend(m, last, appended)
 }
 
-// answerAppend tells a leader up to where the log agrees with its own, once that is durable. What
-// brings nothing new is answered at once by what is durable already: that proves contact, and a
-// leader must not lose its lease because its followers' disks are slow.
-func (c *Core) answerAppend(m Message, last uint64, grown bool) {
+// replyToAppend reports how far the log matches the leader's, once that part is durable. If the message
+// added nothing, it replies at once with the durable index: this confirms contact, so that the
+// leader does not lose its lease because its followers' disks are slow.
+func (c *Core) replyToAppend(m Message, last uint64, appended bool) {
 	reply := Message{Kind: MsgAppendReply, To: m.From, Round: m.Round, Index: last}
-	if grown {
-		c.sendDurable(reply)
+	if appended {
+		c.sendOncePersisted(reply)
 		return
 	}
-	reply.Index = min(last, c.durable())
+	reply.Index = min(last, c.durableIndex())
 	c.send(reply)
 }
 
-// acceptEntries puts entries into the log, marks what has to be written again and reports whether
-// there is any.
+// acceptEntries stores received entries in the log and marks those that are new or replaced as not
+// durable. It reports whether there are any.
 func (c *Core) acceptEntries(m Message) bool {
-	entries := trimTo(m.Entries, c.commit)
+	entries := dropThrough(m.Entries, c.commit)
 	changed := c.log.append(entries)
 	if changed == 0 {
 		return false
 	}
 	c.stable = min(c.stable, changed-1)
-	c.countUnwritten()
+	c.recountUnwritten()
 	return true
 }
 
-// trimTo drops the entries up to index, which are committed and so already here.
-func trimTo(entries []Entry, index uint64) []Entry {
+// dropThrough removes the entries up to index. They are committed, so the log already has them.
+func dropThrough(entries []Entry, index uint64) []Entry {
 	for len(entries) > 0 && entries[0].Index <= index {
 		entries = entries[1:]
 	}
@@ -144,7 +145,7 @@
 	}
 	c.leader = leader
 	c.leaderSeenAt = now
-	c.failed = 0
+	c.failedElections = 0
 	c.resetElection(now)
 }
 
@@ -157,17 +158,18 @@
 func (c *Core) stepSnapshot(now time.Time, m Message) {
 	c.followLeader(now, m.From)
 	if term, found := c.log.term(m.Snapshot.Index); found && term == m.Snapshot.Term {
-		// The log already agrees that far; what follows may have been confirmed and must stay.
+		// The log already matches up to the snapshot. Keep the entries after it: they may have been
+		// acknowledged.
 		c.commitTo(m.Snapshot.Index)
 	} else if m.Snapshot.Index > c.commit {
 		snapshot := *m.Snapshot
 		c.log = memoryLog{snapshot: snapshot}
-		c.newSnapshot = &snapshot
+		c.unwrittenSnapshot = &snapshot
 		c.commit = snapshot.Index
 		c.stable = snapshot.Index
-		c.countUnwritten()
+		c.recountUnwritten()
 	}
-	c.sendDurable(Message{Kind: MsgAppendReply, To: m.From, Round: m.Round, Index: c.commit})
+	c.sendOncePersisted(Message{Kind: MsgAppendReply, To: m.From, Round: m.Round, Index: c.commit})
 }
 
 func (c *Core) stepAppendReply(now time.Time, m Message) {
@@ -175,11 +177,11 @@
 	if c.role != Leader || p == nil {
 		return
 	}
-	if sent := c.roundSent(m.Round); sent.After(p.ackedAt) {
+	if sent := c.roundSentAt(m.Round); sent.After(p.ackedAt) {
 		p.ackedAt = sent
 	}
 	if m.Reject {
-		c.stepBack(now, m, p)
+		c.rewindNext(now, m, p)
 		return
 	}
 	if m.Index > p.match {
@@ -189,18 +191,18 @@
 	p.next = max(p.next, p.match+1)
 	p.probing = false
 	if p.next <= c.log.lastIndex() && p.next >= c.log.firstIndex() {
-		// A member that needs a snapshot gets the next one with a heartbeat.
+		// A member that needs a snapshot gets it with the next heartbeat.
 		c.sendAppend(now, m.From, c.nextRound, false)
 	}
 	if c.transferTo == m.From {
-		c.continueTransfer()
+		c.sendTimeoutNowIfCaughtUp()
 	}
 }
 
-// stepBack tries an earlier place after a member refused one.
-func (c *Core) stepBack(now time.Time, m Message, p *progress) {
+// rewindNext retries from an earlier index after a member rejected an append.
+func (c *Core) rewindNext(now time.Time, m Message, p *progress) {
 	if m.Index < p.match {
-		// An old refusal, overtaken by what the member confirmed since.
+		// A delayed rejection: the member has acknowledged later entries since.
 		return
 	}
 	p.next = max(p.match, min(m.Index, c.log.lastIndex())) + 1
@@ -209,7 +211,7 @@
 	c.sendAppend(now, m.From, c.nextRound, false)
 }
 
-// advanceCommit commits what a quorum holds, if it is of the leader's own term.
+// advanceCommit commits the entries that a quorum has made durable, up to an entry of the current term.
 func (c *Core) advanceCommit(now time.Time) {
 	members := c.Members()
 	var matched []uint64
@@ -229,17 +231,18 @@
 		return
 	}
 	c.commit = index
-	c.timing.committed(now, index)
-	c.settling.committed(index)
+	c.commitLatency.committed(now, index)
+	c.quorumPersisted.committed(index)
 	if _, at := c.log.members(); at <= c.commit && !members.IsVoter(c.id) {
-		// This leader has removed itself.
+		// This leader is no longer a voter.
 		c.becomeFollower(now, c.term, "")
 		return
 	}
 	c.broadcastCommit(now)
 }
 
-// broadcastCommit lets followers apply without waiting for the next heartbeat.
+// broadcastCommit sends the new commit index at once, so that followers need not wait for the next
+// heartbeat.
 func (c *Core) broadcastCommit(now time.Time) {
 	number := c.startRound(now)
 	for _, id := range c.Members().All() {
--- a/src/raft/suspend_test.go
+++ b/src/raft/suspend_test.go
@@ -8,76 +8,76 @@
 )
 
 const (
-	// suspendTick is a step of the simulated time, suspendDelay what a message takes.
+	// suspendTick is one step of the simulated time. suspendDelay is the number of steps a message takes.
 	suspendTick  = 10 * time.Millisecond
 	suspendDelay = 2
-	// suspendSteps is how long a history runs: a first election, some of a lease, and after the
-	// leader is cut off or gives up at suspendElectionAt a second election.
+	// suspendSteps is the length of a simulation: a first election, a lease, and a second election after
+	// the leader is partitioned or transfers leadership at suspendElectionAt.
 	suspendSteps      = 260
 	suspendElectionAt = 110
 )
 
-// suspendWorld is three cores on virtual time, of which one is suspended for a while: it does
-// nothing, and what is sent to it waits at its host until it goes on.
-type suspendWorld struct {
+// suspendSimulation runs three cores on simulated time. One is suspended for a while: it does nothing,
+// and its messages are queued until it resumes.
+type suspendSimulation struct {
 	step  int
 	cores []*Core
-	// lag is by how much each core's clock is behind: by nothing where it counts suspensions.
-	lag       []time.Duration
-	suspended []bool
-	queue     []Message
-	due       []int
-	waiting   [][]Message
-	cut       int
-	// leased counts the steps in which somebody had a lease.
-	leased int
+	// clockLag is how far each core's clock is behind. It stays 0 with clocks that count suspensions.
+	clockLag    []time.Duration
+	suspended   []bool
+	queue       []Message
+	dueSteps    []int
+	undelivered [][]Message
+	partitioned int
+	// leasedSteps is the number of steps in which any core had a lease.
+	leasedSteps int
 }
 
-func newSuspendWorld() *suspendWorld {
-	w := &suspendWorld{lag: make([]time.Duration, 3), suspended: make([]bool, 3), waiting: make([][]Message, 3), cut: -1}
+func newSuspendSimulation() *suspendSimulation {
+	w := &suspendSimulation{clockLag: make([]time.Duration, 3), suspended: make([]bool, 3), undelivered: make([][]Message, 3), partitioned: -1}
 	members := Members{Voters: []ID{"0", "1", "2"}}
 	for i := range 3 {
 		start := Start{Snapshot: Snapshot{Members: members}}
-		w.cores = append(w.cores, New(members.Voters[i], start, DefaultOptions(), rand.New(rand.NewPCG(uint64(i), 5)), noon))
+		w.cores = append(w.cores, New(members.Voters[i], start, DefaultOptions(), rand.New(rand.NewPCG(uint64(i), 5)), startTime))
 	}
 	return w
 }
 
-func (w *suspendWorld) now(i int) time.Time {
-	return noon.Add(time.Duration(w.step)*suspendTick - w.lag[i])
+func (w *suspendSimulation) now(i int) time.Time {
+	return startTime.Add(time.Duration(w.step)*suspendTick - w.clockLag[i])
 }
 
-// turn lets a core do what is to be done, and sends its messages.
-func (w *suspendWorld) turn(i int) {
+// processReady does a core's pending work and sends its messages.
+func (w *suspendSimulation) processReady(i int) {
 	c := w.cores[i]
 	for ready := c.Ready(w.now(i)); !ready.Empty(); ready = c.Ready(w.now(i)) {
 		c.Persisted(w.now(i), ready)
 		for _, m := range ready.Messages {
-			if i != w.cut && m.To != ID(fmt.Sprint(w.cut)) {
+			if i != w.partitioned && m.To != ID(fmt.Sprint(w.partitioned)) {
 				w.queue = append(w.queue, m)
-				w.due = append(w.due, w.step+suspendDelay)
+				w.dueSteps = append(w.dueSteps, w.step+suspendDelay)
 			}
 		}
 	}
 }
 
-func (w *suspendWorld) deliver(m Message) {
+func (w *suspendSimulation) deliver(m Message) {
 	i := int(m.To[0] - '0')
 	if w.suspended[i] {
-		w.waiting[i] = append(w.waiting[i], m)
+		w.undelivered[i] = append(w.undelivered[i], m)
 		return
 	}
 	w.cores[i].Step(w.now(i), m)
-	w.turn(i)
+	w.processReady(i)
 }
 
-func (w *suspendWorld) advance() {
+func (w *suspendSimulation) advance() {
 	w.step++
-	queue, due := w.queue, w.due
-	w.queue, w.due = nil, nil
+	queue, dueSteps := w.queue, w.dueSteps
+	w.queue, w.dueSteps = nil, nil
 	for at, m := range queue {
-		if due[at] > w.step {
-			w.queue, w.due = append(w.queue, m), append(w.due, due[at])
+		if dueSteps[at] > w.step {
+			w.queue, w.dueSteps = append(w.queue, m), append(w.dueSteps, dueSteps[at])
 			continue
 		}
 		w.deliver(m)
@@ -85,23 +85,23 @@
 	for i, c := range w.cores {
 		if !w.suspended[i] {
 			c.Tick(w.now(i))
-			w.turn(i)
+			w.processReady(i)
 		}
 	}
 }
 
-// resume lets a core go on: it reads what waited, in order.
-func (w *suspendWorld) resume(i int) {
+// resume ends a suspension: the core handles the queued messages in order.
+func (w *suspendSimulation) resume(i int) {
 	w.suspended[i] = false
-	for _, m := range w.waiting[i] {
+	for _, m := range w.undelivered[i] {
 		w.cores[i].Step(w.now(i), m)
-		w.turn(i)
+		w.processReady(i)
 	}
-	w.waiting[i] = nil
+	w.undelivered[i] = nil
 }
 
-// leases returns how many cores that run hold a lease now, each by its own clock.
-func (w *suspendWorld) leases() int {
+// leases returns the number of running cores that hold a lease, each by its own clock.
+func (w *suspendSimulation) leases() int {
 	count := 0
 	for i, c := range w.cores {
 		if !w.suspended[i] && c.LeaseValid(w.now(i)) {
@@ -111,71 +111,71 @@
 	return count
 }
 
-// playSuspended plays a history in which one core is suspended at a step for a time, and another
-// election begins on the way. It reports whether two cores ever held a lease at once; counts says
-// whether clocks count the suspension.
-func playSuspended(at, who int, lasts time.Duration, cutLeader, counts bool) (twice bool, leased int) {
-	w := newSuspendWorld()
-	until := at + int(lasts/suspendTick)
+// simulateSuspension suspends one core at a step for a duration; a second election starts during the
+// simulation. It reports whether two cores ever held a lease at the same time, and the number of steps
+// with a lease.
+func simulateSuspension(at, node int, duration time.Duration, partitionLeader, clockCountsSuspension bool) (doubleLease bool, leasedSteps int) {
+	w := newSuspendSimulation()
+	until := at + int(duration/suspendTick)
 	for w.step < max(suspendSteps, until+60) {
 		switch {
 		case w.step == at:
-			w.suspended[who] = true
+			w.suspended[node] = true
 		case w.step == until:
-			if !counts {
-				w.lag[who] = lasts
+			if !clockCountsSuspension {
+				w.clockLag[node] = duration
 			}
-			// What it believes before it has read or done anything counts too.
-			w.suspended[who] = false
-			twice = twice || w.leases() > 1
-			w.resume(who)
-			twice = twice || w.leases() > 1
+			// Also check the lease before the resumed core has handled any message.
+			w.suspended[node] = false
+			doubleLease = doubleLease || w.leases() > 1
+			w.resume(node)
+			doubleLease = doubleLease || w.leases() > 1
 		}
 		if w.step == suspendElectionAt {
-			w.disturb(cutLeader)
+			w.startSecondElection(partitionLeader)
 		}
 		w.advance()
-		twice = twice || w.leases() > 1
+		doubleLease = doubleLease || w.leases() > 1
 		if w.leases() > 0 {
-			w.leased++
+			w.leasedSteps++
 		}
 	}
-	return twice, w.leased
+	return doubleLease, w.leasedSteps
 }
 
-// disturb cuts the leader off, or lets it hand over.
-func (w *suspendWorld) disturb(cutLeader bool) {
+// startSecondElection partitions the leader, or makes it transfer leadership.
+func (w *suspendSimulation) startSecondElection(partitionLeader bool) {
 	for i, c := range w.cores {
 		if c.Role() != Leader || w.suspended[i] {
 			continue
 		}
-		if cutLeader {
-			w.cut = i
+		if partitionLeader {
+			w.partitioned = i
 			return
 		}
 		c.Transfer(w.now(i))
-		w.turn(i)
+		w.processReady(i)
 		return
 	}
 }
 
-// suspendTimes are the lengths of suspensions: shorter than a lease, longer than an election, long.
-var suspendTimes = []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
+// suspendDurations are shorter than a lease, longer than an election timeout, and much longer.
+var suspendDurations = []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
 
-// TestASuspensionAtAnyMomentMakesNoSecondLease: at each step of a first election, a lease, a cut or
-// a hand-over and the next election each node in turn is suspended; no two hold a lease at once, by
-// their own clocks, not even in the moment in which the suspended one goes on.
-func TestASuspensionAtAnyMomentMakesNoSecondLease(t *testing.T) {
-	for _, lasts := range suspendTimes {
+// TestSuspensionNeverCausesTwoLeases suspends each node at each step of a first election, a lease, a
+// partition or leadership transfer, and the second election. Two nodes must never hold a lease at the same
+// time by their own clocks, even at the moment when the suspended one resumes.
+func TestSuspensionNeverCausesTwoLeases(t *testing.T) {
+	for _, duration := range suspendDurations {
 		for at := 1; at < suspendSteps; at++ {
-			for who := range 3 {
-				for _, cutLeader := range []bool{false, true} {
-					twice, leased := playSuspended(at, who, lasts, cutLeader, true)
-					if twice {
-						t.Fatalf("two leases at once: node %d suspended at %s for %s, leader cut off %v", who, time.Duration(at)*suspendTick, lasts, cutLeader)
+			for node := range 3 {
+				for _, partitionLeader := range []bool{false, true} {
+					doubleLease, leasedSteps := simulateSuspension(at, node, duration, partitionLeader, true)
+					if doubleLease {
+						t.Fatalf("two leases at the same time: node %d suspended at %s for %s, leader partitioned %v", node, time.Duration(at)*suspendTick, duration, partitionLeader)
 					}
-					if leased < 50 {
-						t.Fatalf("nobody led: node %d suspended at %s for %s, leader cut off %v", who, time.Duration(at)*suspendTick, lasts, cutLeader)
+					if leasedSteps < 50 {
+						t.Fatalf("too few steps with a lease: node %d suspended at %s for %s, leader partitioned %v", node, time.Duration(at)*suspendTick, duration, partitionLeader)
 					}
 				}
 			}
@@ -183,18 +183,19 @@
 	}
 }
 
-// TestAClockThatCountsNoSuspensionMakesASecondLease, so that the test above has something to find.
-func TestAClockThatCountsNoSuspensionMakesASecondLease(t *testing.T) {
+// TestSuspensionWithStoppedClockCausesTwoLeases shows that the simulation of the test above can detect
+// two leases: it does so with clocks that stop during a suspension.
+func TestSuspensionWithStoppedClockCausesTwoLeases(t *testing.T) {
 	found := 0
 	for at := 1; at < suspendSteps; at += 5 {
-		for who := range 3 {
-			if twice, _ := playSuspended(at, who, 3*time.Second, false, false); twice {
+		for node := range 3 {
+			if doubleLease, _ := simulateSuspension(at, node, 3*time.Second, false, false); doubleLease {
 				found++
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("no second lease was found with clocks that stand still")
+		t.Error("found no second lease with clocks that stop during a suspension")
 	}
-	t.Logf("a second lease in %d histories", found)
+	t.Logf("a second lease in %d simulations", found)
 }
