--- a/src/store/backup.go
+++ b/src/store/backup.go
@@ -11,7 +11,7 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// backup is a whole folder in one file.
+// backup is the content of a data folder in one file.
 type backup struct {
 	Identity Identity       `cbor:"1,keyasint"`
 	State    raft.HardState `cbor:"2,keyasint"`
@@ -19,8 +19,8 @@
 	Entries  []raft.Entry   `cbor:"4,keyasint"`
 }
 
-// Read returns what a folder holds without changing it. A torn end is an error
-// here only if records follow it.
+// Read returns the contents of a data folder without modifying it. A torn record is an error
+// only if valid records follow it.
 func Read(path string) (Identity, raft.Start, error) {
 	copied, err := os.MkdirTemp("", "moorspool-read-")
 	if err != nil {
@@ -38,7 +38,7 @@
 	return f.identity, start, err
 }
 
-// Backup writes a control node's whole folder into one file; the control node must be stopped.
+// Backup writes the data folder of a stopped control node to a single file.
 func Backup(folder, file string) error {
 	identity, start, err := Read(folder)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return errors.Wrap(renameio.WriteFile(file, appendFrame(nil, body), fileMode), "writing the backup")
 }
 
-// Restore writes a backup into an empty folder. It is for an installation that
-// lost a majority of its control nodes: the restored control node has the backup's state,
-// and what was accepted after the backup is lost.
+// Restore writes a backup to an empty folder. It is meant for an installation that
+// lost a majority of its control nodes. The restored control node has the state at the time of the
+// backup; changes accepted later are lost.
 func Restore(file, folder string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/src/store/doc.go
+++ b/src/store/doc.go
@@ -1,14 +1,14 @@
-// Package store keeps a control node's term, vote, log and snapshot in one data
-// folder, so that what was synced survives and damage is noticed.
+// Package store persists a control node's term, vote, log and snapshot in a data
+// folder. Synced data survives a crash or loss of power, and corruption is detected.
 //
-// The folder holds
+// The folder contains
 //
-//	identity          who the folder belongs to, written once
-//	log-<number>      records, each with length and checksum, appended only
-//	snapshot          the state at one place in the log, replaced whole
+//	identity          the owner of the folder, written once
+//	log-<number>      records with length and checksum, append-only
+//	snapshot          the state at one log index, replaced as a whole
 //
-// A log file is begun at every start, after every snapshot and when one is full;
-// numbers only grow, so that the newest file is the only one that can be torn.
+// A new log file is started at every start, after every snapshot and when the current one is full.
+// Numbers only increase, so only the newest file can end in a torn record.
 //
-// Plain file calls only; nothing is mapped into memory.
+// The package uses plain file I/O and no memory mapping.
 package store
--- a/src/store/folder.go
+++ b/src/store/folder.go
@@ -15,16 +15,17 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// formatVersion is written into every folder; a folder of another one is refused.
+// formatVersion is the version of the data format. A folder with another version is rejected.
 const formatVersion = 1
 
-// FounderIncarnation is the first folder of a control node that founded the installation.
+// FounderIncarnation is the incarnation of the first folder of a control node that founded the
+// installation.
 const FounderIncarnation = "0"
 
-// segmentLimit is the size at which a new log file is begun.
+// segmentLimit is the size in bytes at which a new log file is started.
 const segmentLimit = 8 << 20
 
-// The names of the files.
+// File names and modes.
 const (
 	identityFile  = "identity"
 	snapshotFile  = "snapshot"
@@ -33,36 +34,37 @@
 	fileMode      = 0o600
 )
 
-// The errors that an operator has to act on.
+// Errors that require action by an operator.
 var (
 	ErrForeign = errors.New("the data folder belongs to another control node or installation")
 	ErrVersion = errors.New("the data folder was written by another version of the format")
 	ErrDamaged = errors.New("the data folder is damaged before its end; restore it from a backup or replace the disk")
 )
 
-// Identity says who a data folder belongs to.
+// Identity identifies the owner of a data folder.
 type Identity struct {
 	Version int    `cbor:"1,keyasint" json:"version"`
 	Cluster string `cbor:"2,keyasint" json:"cluster"`
 	Name    string `cbor:"3,keyasint" json:"name"`
-	// Incarnation differs for every folder a control node has had; founders' first is "0".
+	// Incarnation is different for every data folder of a control node. It is "0" for the first
+	// folder of a founder.
 	Incarnation string `cbor:"4,keyasint" json:"incarnation"`
-	// Founders are the first voters, kept by those that found an installation:
-	// settings may name others later.
+	// Founders are the first voters. They are stored in the folders of founders because the
+	// settings may list other nodes later.
 	Founders []raft.ID `cbor:"5,keyasint,omitempty" json:"founders,omitempty"`
 }
 
-// ID returns the consensus id of the control node with this folder.
+// ID returns the Raft ID of the control node that owns the folder.
 func (i Identity) ID() raft.ID { return raft.ID(i.Name + "#" + i.Incarnation) }
 
-// File is the part of os.File that a log needs; tests put faults in it.
+// File is the subset of os.File used for log files. Tests use it to inject faults.
 type File interface {
 	Write(p []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Folder is an open data folder; it is used by one goroutine.
+// Folder is an open data folder. It is not safe for concurrent use.
 type Folder struct {
 	path     string
 	identity Identity
@@ -71,20 +73,20 @@
 	size     int
 	segments []string
 	sequence uint64
-	failed   error
+	failure  error
 	syncs    uint64
 }
 
-// Options tells whose folder is to be opened.
+// Options configures Open.
 type Options struct {
 	Path    string
 	Cluster string
 	Name    string
-	// Founder makes an empty folder one of the first voters of a new installation.
+	// Founder makes this node one of the first voters of a new installation if the folder is empty.
 	Founder bool
-	// Founders are the first voters that a founder's folder records.
+	// Founders are the first voters to store in a founder's new folder.
 	Founders []raft.ID
-	// OpenFile opens a log file for appending; nil means the real one.
+	// OpenFile opens a log file for appending; nil means a file on disk.
 	OpenFile func(name string) (File, error)
 }
 
@@ -92,15 +94,15 @@
 	return os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Open opens a folder, makes it if it is empty, and returns what it holds. It
-// cuts off a torn end, and fails with ErrForeign, ErrVersion or ErrDamaged.
+// Open opens a data folder, initializes it if it is empty, and returns its contents. A torn
+// record at the end is truncated. Open fails with ErrForeign, ErrVersion or ErrDamaged.
 func Open(options Options) (*Folder, raft.Start, error) {
 	f := &Folder{path: options.Path, openFile: options.OpenFile}
 	if f.openFile == nil {
 		f.openFile = openAppend
 	}
 	if err := os.MkdirAll(options.Path, folderMode); err != nil {
-		return nil, raft.Start{}, errors.Wrap(err, "making the data folder")
+		return nil, raft.Start{}, errors.Wrap(err, "creating the data folder")
 	}
 	if err := f.loadIdentity(options); err != nil {
 		return nil, raft.Start{}, err
@@ -118,10 +120,10 @@
 	return f, start, nil
 }
 
-// Identity returns whom the folder belongs to.
+// Identity returns the owner of the folder.
 func (f *Folder) Identity() Identity { return f.identity }
 
-// Syncs returns how many times the log was synced.
+// Syncs returns the number of log syncs so far.
 func (f *Folder) Syncs() uint64 { return f.syncs }
 
 func (f *Folder) loadIdentity(options Options) error {
@@ -148,7 +150,7 @@
 		return errors.Wrap(ErrDamaged, identityFile)
 	}
 	if f.identity.Version != formatVersion {
-		return errors.Wrapf(ErrVersion, "it has %d, this program %d", f.identity.Version, formatVersion)
+		return errors.Wrapf(ErrVersion, "format version %d, this program uses version %d", f.identity.Version, formatVersion)
 	}
 	return nil
 }
@@ -169,7 +171,7 @@
 	return f.replace(identityFile, body)
 }
 
-// replace writes a whole file beside the old one, syncs it, renames it and syncs the folder.
+// replace atomically replaces a file through a temporary file and a rename, and syncs the folder.
 func (f *Folder) replace(name string, body []byte) error {
 	path := filepath.Join(f.path, name)
 	if err := renameio.WriteFile(path, appendFrame(nil, body), fileMode); err != nil {
@@ -203,5 +205,5 @@
 	return names, nil
 }
 
-// segmentName returns the name of the sequence-th log file; names sort by age.
+// segmentName returns the name of a log file. Names sort by sequence number.
 func segmentName(sequence uint64) string { return fmt.Sprintf("%s%020d", segmentPrefix, sequence) }
--- a/src/store/list.go
+++ b/src/store/list.go
@@ -9,14 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// listFile keeps a list in a file of its own, replaced whole; it is safe for concurrent use.
+// listFile stores a list in a file that is replaced as a whole. It is safe for concurrent use.
 type listFile[T any] struct {
 	folder *Folder
 	name   string
 	mu     sync.Mutex
 }
 
-// save writes the list and returns once it would survive a loss of power.
+// save writes the list. It returns once the list would survive a loss of power.
 func (l *listFile[T]) save(list []T) error {
 	body, err := cbor.Marshal(list)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return l.folder.replace(l.name, body)
 }
 
-// load returns the list that was saved last, nil if there is none yet.
+// load returns the list saved last, or nil if none was saved.
 func (l *listFile[T]) load() ([]T, error) {
 	data, err := os.ReadFile(filepath.Join(l.folder.path, l.name))
 	if os.IsNotExist(err) {
--- a/src/store/load.go
+++ b/src/store/load.go
@@ -11,7 +11,7 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// load reads snapshot and log files in order.
+// load reads the snapshot and then the log files in order.
 func (f *Folder) load() (raft.Start, error) {
 	var start raft.Start
 	if err := f.loadSnapshot(&start); err != nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// loadSegment reads one log file. Only the newest may end in a torn record,
-// which was never confirmed to anybody; it is cut off.
+// loadSegment reads one log file. A torn record at the end of the newest file is
+// truncated: it was never acknowledged.
 func (f *Folder) loadSegment(name string, newest bool, start *raft.Start) error {
 	path := filepath.Join(f.path, name)
 	data, err := os.ReadFile(path)
@@ -60,7 +60,7 @@
 	for len(rest) > 0 {
 		body, after, ok := nextFrame(rest)
 		if !ok {
-			return f.cutTail(path, rest, len(data)-len(rest), newest)
+			return f.truncateTail(path, rest, len(data)-len(rest), newest)
 		}
 		var r record
 		if err := cbor.Unmarshal(body, &r); err != nil {
@@ -74,24 +74,24 @@
 	return nil
 }
 
-// cutTail truncates a torn end. If a sound record follows the bad one, the
-// damage is in the middle and what was confirmed may be gone: refuse.
-func (f *Folder) cutTail(path string, rest []byte, offset int, newest bool) error {
-	if !newest || soundRecordFollows(rest) {
+// truncateTail removes a torn record at the end of the log. If a valid record follows, the corruption
+// is not at the end and acknowledged entries may be lost, so it returns ErrDamaged.
+func (f *Folder) truncateTail(path string, rest []byte, offset int, newest bool) error {
+	if !newest || validRecordFollows(rest) {
 		return errors.Wrapf(ErrDamaged, "%s at byte %d", filepath.Base(path), offset)
 	}
 	if err := os.Truncate(path, int64(offset)); err != nil {
-		return errors.Wrap(err, "cutting off a torn record")
+		return errors.Wrap(err, "truncating a torn record")
 	}
 	file, err := os.OpenFile(path, os.O_WRONLY, fileMode)
 	if err != nil {
-		return errors.Wrap(err, "cutting off a torn record")
+		return errors.Wrap(err, "truncating a torn record")
 	}
 	defer file.Close()
-	return errors.Wrap(file.Sync(), "cutting off a torn record")
+	return errors.Wrap(file.Sync(), "truncating a torn record")
 }
 
-func soundRecordFollows(rest []byte) bool {
+func validRecordFollows(rest []byte) bool {
 	for i := 1; i+headerSize < len(rest); i++ {
 		if body, _, ok := nextFrame(rest[i:]); ok {
 			var r record
--- a/src/store/quarantine.go
+++ b/src/store/quarantine.go
@@ -2,22 +2,23 @@
 
 import "github.com/moorspool/moorspool/src/quarantine"
 
-// quarantineFile holds the contents under which replicas ended.
+// quarantineFile is the file with the quarantined request contents.
 const quarantineFile = "quarantine"
 
-// QuarantineFile keeps what a control node knows of contents under which replicas ended, so
-// that after a loss of all power they are not sent on anew; it is safe for concurrent use.
+// QuarantineFile stores the quarantine entries of a control node, which are request contents that
+// replicas terminated on. It keeps them blocked after a power loss of all nodes. It is safe for
+// concurrent use.
 type QuarantineFile struct {
 	list listFile[quarantine.Entry]
 }
 
-// Quarantine returns the folder's file of contents under which replicas ended.
+// Quarantine returns the folder's file of quarantine entries.
 func (f *Folder) Quarantine() *QuarantineFile {
 	return &QuarantineFile{list: listFile[quarantine.Entry]{folder: f, name: quarantineFile}}
 }
 
-// Save writes the entries and returns once they would survive a loss of power.
+// Save writes the entries. It returns once they would survive a loss of power.
 func (q *QuarantineFile) Save(entries []quarantine.Entry) error { return q.list.save(entries) }
 
-// Load returns the entries that were saved last, none if there are none yet.
+// Load returns the entries saved last, or none if nothing was saved.
 func (q *QuarantineFile) Load() ([]quarantine.Entry, error) { return q.list.load() }
--- a/src/store/quarantine_test.go
+++ b/src/store/quarantine_test.go
@@ -10,12 +10,12 @@
 	"github.com/moorspool/moorspool/src/quarantine"
 )
 
-// TestTheQuarantineComesBackAsItWasSaved, none if there is none yet, and a damaged file is an error
-// that does not stop the node.
-func TestTheQuarantineComesBackAsItWasSaved(t *testing.T) {
+// TestQuarantineIsLoadedAsSaved: a missing file has no entries, and a damaged one is an error
+// of Load alone.
+func TestQuarantineIsLoadedAsSaved(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	folder, _, err := Open(options(path))
+	folder, _, err := Open(testOptions(path))
 	is.NoErr(err)
 	defer folder.Close()
 	file := folder.Quarantine()
--- a/src/store/record.go
+++ b/src/store/record.go
@@ -10,17 +10,17 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// record is one write of the log file. All of a write is one record with one
-// checksum: a write that was torn anywhere was never confirmed, so it goes whole.
+// record is a single write to the log file, protected by one checksum. If any part of it is
+// torn, the whole record is dropped, since it was never acknowledged.
 type record struct {
 	HardState *raft.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []raft.Entry    `cbor:"2,keyasint,omitempty"`
 }
 
-// headerSize is the length and the checksum before each record.
+// headerSize is the size in bytes of the length and checksum before each record.
 const headerSize = 8
 
-// maxRecord bounds a record, so that a damaged length is not believed.
+// maxRecord is the maximum record size in bytes. A larger length is treated as corruption.
 const maxRecord = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -39,8 +39,8 @@
 	return append(buf, body...)
 }
 
-// nextFrame returns the first frame's body and the bytes after it; ok is false
-// when the bytes do not start with a whole, sound frame.
+// nextFrame returns the body of the first frame and the data after it. ok is false
+// if the data does not start with a complete frame with a valid checksum.
 func nextFrame(data []byte) (body, rest []byte, ok bool) {
 	if len(data) < headerSize {
 		return nil, data, false
--- a/src/store/replicas_test.go
+++ b/src/store/replicas_test.go
@@ -21,7 +21,7 @@
 	return folder.Replicas()
 }
 
-func TestReplicasComeBackAsTheyWereSaved(t *testing.T) {
+func TestReplicasAreLoadedAsSaved(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
 	file := openReplicas(t, path)
@@ -35,9 +35,9 @@
 	is.Equal(records, saved)
 }
 
-// TestADamagedFileOfReplicasIsAnErrorAndDoesNotStopTheNode: the file only shortens
-// a restart, so the folder still opens.
-func TestADamagedFileOfReplicasIsAnErrorAndDoesNotStopTheNode(t *testing.T) {
+// TestDamagedReplicaFileDoesNotPreventOpen: the file only speeds up a restart, so the
+// folder can be opened without it.
+func TestDamagedReplicaFileDoesNotPreventOpen(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
 	is.NoErr(openReplicas(t, path).Save([]registry.Record{{ID: "a"}}))
--- a/src/store/save.go
+++ b/src/store/save.go
@@ -10,7 +10,7 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// openSegment begins the next log file.
+// openSegment starts the next log file.
 func (f *Folder) openSegment() error {
 	if f.segment != nil {
 		if err := f.segment.Close(); err != nil {
@@ -29,17 +29,17 @@
 	return f.syncFolder()
 }
 
-// Save makes hard state and entries durable with one sync. After an error
-// nothing more may be saved: a disk that failed once is not trusted again.
+// Save makes the hard state and entries durable with one sync. After an error every later
+// call fails too, because the state of a disk that failed once is unknown.
 func (f *Folder) Save(state *raft.HardState, entries []raft.Entry) error {
-	if f.failed != nil {
-		return f.failed
+	if f.failure != nil {
+		return f.failure
 	}
 	if state == nil && len(entries) == 0 {
 		return nil
 	}
-	f.failed = f.save(state, entries)
-	return f.failed
+	f.failure = f.save(state, entries)
+	return f.failure
 }
 
 func (f *Folder) save(state *raft.HardState, entries []raft.Entry) error {
@@ -62,14 +62,14 @@
 	return f.openSegment()
 }
 
-// SaveSnapshot makes a snapshot durable, then drops log files it covers. state
-// is written again, since the files dropped may hold the only copy.
+// SaveSnapshot makes a snapshot durable and then removes the log files it covers. It also writes state
+// and the entries after the snapshot, since the removed files may hold their only copy.
 func (f *Folder) SaveSnapshot(snapshot raft.Snapshot, state raft.HardState, after []raft.Entry) error {
-	if f.failed != nil {
-		return f.failed
+	if f.failure != nil {
+		return f.failure
 	}
-	f.failed = f.saveSnapshot(snapshot, state, after)
-	return f.failed
+	f.failure = f.saveSnapshot(snapshot, state, after)
+	return f.failure
 }
 
 func (f *Folder) saveSnapshot(snapshot raft.Snapshot, state raft.HardState, after []raft.Entry) error {
@@ -90,7 +90,7 @@
 	}
 	for _, name := range old {
 		if err := os.Remove(filepath.Join(f.path, name)); err != nil {
-			return errors.Wrap(err, "dropping a log file")
+			return errors.Wrap(err, "removing a log file")
 		}
 	}
 	return f.syncFolder()
--- a/src/store/slow.go
+++ b/src/store/slow.go
@@ -2,5 +2,5 @@
 
 package store
 
-// delaySync does nothing: only builds for the soak delay their syncs.
+// delaySync does nothing; only soak test builds delay syncs.
 func delaySync(string) {}
--- a/src/store/slow_soak.go
+++ b/src/store/slow_soak.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// slowSuffix follows a data folder's path in the name of the file that says how many milliseconds
-// each sync of the folder waits.
+// slowSuffix is appended to a data folder's path to get the name of the file that contains the
+// delay of each sync in milliseconds.
 const slowSuffix = ".slow"
 
-// slowPoll is how often a sync that waits reads that file again.
-const slowPoll = 5 * time.Millisecond
+// delayPollInterval is how often a delayed sync reads that file again.
+const delayPollInterval = 5 * time.Millisecond
 
-// delaySync waits for as long as the file beside a data folder says, and no longer than it says so.
+// delaySync waits until the delay in the file next to a data folder has passed, or the file no longer
+// requires a delay.
 func delaySync(folder string) {
-	began := time.Now()
-	for time.Since(began) < syncDelay(folder) {
-		time.Sleep(slowPoll)
+	startedAt := time.Now()
+	for time.Since(startedAt) < syncDelay(folder) {
+		time.Sleep(delayPollInterval)
 	}
 }
 
-// syncDelay returns how long each sync of a folder waits, 0 where nothing or nothing readable says so.
+// syncDelay returns the sync delay for a folder, or 0 if its file is missing or invalid.
 func syncDelay(folder string) time.Duration {
 	text, err := os.ReadFile(folder + slowSuffix)
 	if err != nil {
