--- a/src/clock/clock.go
+++ b/src/clock/clock.go
@@ -6,37 +6,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time since a moment at the process's start; it is safe for concurrent use.
+// Clock measures the time since process start, including host suspensions. It is safe for concurrent
+// use.
 type Clock struct {
-	start time.Time
-	began time.Duration
-	boot  func() (time.Duration, error)
+	start       time.Time
+	bootAtStart time.Duration
+	boot        func() (time.Duration, error)
 }
 
-// New returns a clock that starts at a time of day and reads the time since the host was started,
-// suspensions counted.
+// New returns a clock that starts at the wall time start. boot reads the time since the host was booted,
+// including suspensions.
 func New(start time.Time, boot func() (time.Duration, error)) (*Clock, error) {
-	began, err := boot()
+	bootAtStart, err := boot()
 	if err != nil {
 		return nil, err
 	}
-	// Without its steady reading a time is compared by what this clock says.
-	return &Clock{start: start.Round(0), began: began, boot: boot}, nil
+	// Round(0) strips the monotonic reading, so that times are compared by this clock's readings.
+	return &Clock{start: start.Round(0), bootAtStart: bootAtStart, boot: boot}, nil
 }
 
-// Now returns the present time. Times of this clock are compared with one another only: those of
-// package time may differ from them by as much as the time of day was set since the start.
+// Now returns the current time. Compare it only with other times of this clock: the wall time of
+// package time may differ by any amount it was adjusted since process start.
 func (c *Clock) Now() time.Time {
 	now, err := c.boot()
 	if err != nil {
-		// The system read this clock at the start and has no reason to fail now; the zero
-		// duration makes every lease look as young as at the start, the largest one as lapsed.
-		return c.start.Add(1<<62 - c.began)
+		// This should not happen, since the same read succeeded at startup. Return a time in the far future
+		// so that every lease counts as expired; with a zero duration every lease would look new.
+		return c.start.Add(1<<62 - c.bootAtStart)
 	}
-	return c.start.Add(now - c.began)
+	return c.start.Add(now - c.bootAtStart)
 }
 
-// sinceBoot reads the time since the host was started, suspensions counted.
+// sinceBoot returns the time since the host was booted, including suspensions.
 func sinceBoot() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -45,10 +46,10 @@
 	return time.Duration(t.Nano()) + shift(), nil
 }
 
-// process is the process's clock, nil on a system that does not have one.
+// process is the clock of this process, or nil on a system without CLOCK_BOOTTIME.
 var process, _ = New(time.Now(), sinceBoot)
 
-// Now returns the present time of the process's clock.
+// Now returns the current time of the process's clock.
 func Now() time.Time {
 	if process == nil {
 		return time.Now()
--- a/src/clock/clock_test.go
+++ b/src/clock/clock_test.go
@@ -8,24 +8,25 @@
 	"github.com/matryer/is"
 )
 
-// TestASuspensionCounts: the time since the host's start goes on while the steady clock stands
-// still, and times compare by it alone.
+// TestASuspensionCounts: the clock must advance during a suspension, in which the monotonic clock of
+// package time stands still, and its times must be compared without monotonic readings.
 func TestASuspensionCounts(t *testing.T) {
 	is := is.New(t)
 	boot := 5 * time.Second
 	c, err := New(time.Now(), func() (time.Duration, error) { return boot, nil })
 	is.NoErr(err)
-	leased := c.Now()
-	until := leased.Add(3 * time.Second)
+	start := c.Now()
+	until := start.Add(3 * time.Second)
 	boot += 2 * time.Second
 	is.True(c.Now().Before(until))
-	boot += 8 * time.Second // suspended
+	boot += 8 * time.Second // during a suspension
 	is.True(c.Now().After(until))
-	is.Equal(c.Now().Sub(leased), 10*time.Second)
+	is.Equal(c.Now().Sub(start), 10*time.Second)
 }
 
-// TestAClockThatFailsLetsEveryLeaseLapse, and one that never worked is none.
-func TestAClockThatFailsLetsEveryLeaseLapse(t *testing.T) {
+// TestFailingClockExpiresLeases: a read error must not keep a lease valid. New returns the error of the
+// first read.
+func TestFailingClockExpiresLeases(t *testing.T) {
 	is := is.New(t)
 	var fault error
 	boot := func() (time.Duration, error) { return time.Minute, fault }
@@ -38,8 +39,8 @@
 	is.True(err != nil)
 }
 
-// TestTheProcessClockGoesOn with the time of package time as long as nothing is suspended or set.
-func TestTheProcessClockGoesOn(t *testing.T) {
+// TestProcessClockDoesNotGoBack guards against a missing process clock and against decreasing times.
+func TestProcessClockDoesNotGoBack(t *testing.T) {
 	is := is.New(t)
 	is.True(process != nil)
 	first := Now()
--- a/src/clock/doc.go
+++ b/src/clock/doc.go
@@ -1,9 +1,9 @@
-// Package clock has the clock that leases are measured by: it goes on while the host is suspended
-// and does not jump with the time of day.
+// Package clock provides the clock used for leases. It advances while the host is suspended and is not
+// affected by changes of the wall time.
 //
-// The steady clock of package time stands still while a host is suspended, so that whoever holds a
-// lease by it goes on acting on one that all others have seen expire; the time of day may be set.
-// What is waited for, and how long a request took, is measured by package time, whose timers and
-// deadlines go by the steady clock: a timer that fires late by a suspension is followed by a look at
-// this clock wherever something lapses.
+// The monotonic clock of package time stands still while a host is suspended. A lease holder that used
+// it would continue to act on a lease that all other nodes have seen expire. The wall time may be set.
+// Timers, deadlines and request durations use package time and thus the monotonic clock, so a timer may
+// fire late by the length of a suspension. Code with an expiry checks it against this clock after the
+// timer has fired.
 package clock
--- a/src/clock/shift.go
+++ b/src/clock/shift.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// shift is for how long the process believes that its host was suspended beyond what the system
-// says: only builds for the soak shift their clock.
+// shift returns how much the process adds to the system's boot time clock to simulate a suspension.
+// Only soak test builds do so.
 func shift() time.Duration { return 0 }
--- a/src/clock/shift_soak.go
+++ b/src/clock/shift_soak.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// suspension is how far one SIGUSR2 moves the clock: longer than every lease of the soak.
+// suspension is how far one SIGUSR2 advances the clock: longer than every lease in the soak test.
 const suspension = 3 * time.Second
 
-var shifted atomic.Int64
+var totalShift atomic.Int64
 
-// shift is for how long the process was told that its host was suspended.
-func shift() time.Duration { return time.Duration(shifted.Load()) }
+// shift returns the total length of the simulated suspensions.
+func shift() time.Duration { return time.Duration(totalShift.Load()) }
 
 func init() {
-	told := make(chan os.Signal, 4)
-	signal.Notify(told, syscall.SIGUSR2)
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGUSR2)
 	go func() {
-		for range told {
-			shifted.Add(int64(suspension))
+		for range signals {
+			totalShift.Add(int64(suspension))
 		}
 	}()
 }
