--- a/src/wire/admission.go
+++ b/src/wire/admission.go
@@ -1,50 +1,52 @@
 package wire
 
-// AdmitRequest asks a control node whether a request of a client account may pass. One
-// without an account asks only how lately the configuration was known to be the newest.
-// Its names are short since it is sent for each request.
+// AdmitRequest asks a control node to admit a request of a client account. Without an account it
+// only asks when the configuration was last confirmed to be the newest. JSON keys are short because
+// it is sent for every request.
 type AdmitRequest struct {
 	Account string  `json:"a,omitempty"`
 	Units   float64 `json:"u,omitempty"`
 }
 
-// Admission says what became of an ask for units of an account's limit.
+// Admission is the result of a request for units of an account's quota.
 type Admission string
 
-// The admissions.
+// Admission results.
 const (
-	// Granted means that the units may be spent.
+	// Granted means that the units may be used.
 	Granted Admission = "granted"
-	// Spent means that the account has nothing left for now.
+	// Spent means that the account's quota is exhausted for now.
 	Spent Admission = "spent"
-	// Unsure means that nobody in reach can say.
+	// Unsure means that no reachable node can decide.
 	Unsure Admission = ""
 )
 
-// AdmitReply answers an AdmitRequest.
+// AdmitReply is the reply to an AdmitRequest.
 type AdmitReply struct {
 	Admission Admission `json:"r,omitempty"`
-	// WaitMS is after how long the account is expected to have enough, in milliseconds.
+	// WaitMS is the expected time until the account has enough quota, in milliseconds.
 	WaitMS int64 `json:"w,omitempty"`
 	// Version was the newest accepted configuration AgeMS milliseconds before this reply
-	// was made; 0 if the control node knows of none for certain.
+	// was created; it is 0 if the control node has no confirmed configuration.
 	Version uint64 `json:"v,omitempty"`
 	AgeMS   int64  `json:"t,omitempty"`
 }
 
-// QuotaShare is a control node's part of an account's limit.
+// QuotaShare is a control node's share of an account's quota.
 type QuotaShare struct {
 	Account string `json:"a"`
-	// Rate is in units a second, Saved in units.
+	// Rate is the share in units per second, and Saved the units the node may accumulate.
 	Rate  float64 `json:"r,omitempty"`
 	Saved float64 `json:"s,omitempty"`
-	// Demand is in units a second, Typical and Spilled in units; replies leave them out.
+	// Demand is the recent demand in units per second, Typical the average units per request, and Spilled the
+	// units that expired unused. These three are set only in reports to the leader.
 	Demand  float64 `json:"d,omitempty"`
 	Typical float64 `json:"t,omitempty"`
 	Spilled float64 `json:"o,omitempty"`
 }
 
-// LeaseRequest is a control node's report to the leader.
+// LeaseRequest is a control node's quota report to the leader. Life is different after each restart of
+// the node, and Sequence orders its reports.
 type LeaseRequest struct {
 	Node     string       `json:"node"`
 	Life     uint64       `json:"life"`
@@ -52,33 +54,34 @@
 	Shares   []QuotaShare `json:"shares,omitempty"`
 }
 
-// LeaseReply gives shares from when the request was sent. Known is set if the node that
-// answers leads; Version is then the newest accepted configuration.
+// LeaseReply grants shares for a lease that starts when the request was sent. Known is set if the
+// responding node is the leader; Version is then the newest accepted configuration.
 type LeaseReply struct {
 	Known   bool         `json:"known"`
 	Version uint64       `json:"version,omitempty"`
 	Shares  []QuotaShare `json:"shares,omitempty"`
-	// Usage is what the accounts have used; Complete is set if those are all accounts.
+	// Usage is the recent usage by account. Complete is set if it lists every account with usage.
 	Usage    []QuotaUsage `json:"usage,omitempty"`
 	Complete bool         `json:"complete,omitempty"`
 }
 
-// QuotaUsage is what an account has used, in its unit.
+// QuotaUsage is the recent usage of an account, in the unit of its quota.
 type QuotaUsage struct {
 	Account string `json:"a"`
-	// Used is in parts of the window, the newest first.
+	// Used is the usage in each interval of the window, newest first. Level is the unused quota
+	// the account has accumulated, and Extended the units it has used ahead of accumulating them.
 	Used     []float64 `json:"u,omitempty"`
 	Level    float64   `json:"l,omitempty"`
 	Extended float64   `json:"e,omitempty"`
 }
 
-// DrawRequest asks the leader for units that no control node has.
+// DrawRequest asks the leader for units outside the control nodes' shares.
 type DrawRequest struct {
 	Account string  `json:"a"`
 	Units   float64 `json:"u"`
 }
 
-// DrawReply answers a DrawRequest.
+// DrawReply is the reply to a DrawRequest.
 type DrawReply struct {
 	Admission Admission `json:"r,omitempty"`
 	WaitMS    int64     `json:"w,omitempty"`
--- a/src/wire/control.go
+++ b/src/wire/control.go
@@ -7,37 +7,37 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// Outcome says what became of a request to the control nodes.
+// Outcome is the result of a request to the control nodes.
 type Outcome string
 
-// The outcomes.
+// Outcomes.
 const (
-	// Accepted means durable on a quorum and in force from now on.
+	// Accepted means that the change is durable on a quorum and in effect.
 	Accepted Outcome = "accepted"
-	// Refused means that nothing was done, and asking again as it is won't help.
+	// Refused means that nothing was changed, and that repeating the same request will not succeed.
 	Refused Outcome = "refused"
-	// Conflicted means that nothing was done, because the base was too old.
+	// Conflicted means that nothing was changed because the base revision was outdated.
 	Conflicted Outcome = "conflict"
-	// Unavailable means that nothing was done, because no leader could be asked.
+	// Unavailable means that nothing was changed because no leader was reachable.
 	Unavailable Outcome = "unavailable"
-	// Unknown means that it may or may not be done; ask again with the same id.
+	// Unknown means that the change may or may not have been made. Retry with the same ID.
 	Unknown Outcome = "unknown"
 )
 
-// ApplyRequest asks for a change, or only for what the change would meet.
+// ApplyRequest requests a configuration change. With DryRun it is only checked.
 type ApplyRequest struct {
 	Change config.Change `json:"change"`
 	DryRun bool          `json:"dryRun,omitempty"`
 }
 
-// Conflict names an object that changed since the operator looked.
+// Conflict is an object that was modified after the base revision of a change.
 type Conflict struct {
 	Key      config.Key      `json:"key"`
 	Revision config.Revision `json:"revision"`
 	By       string          `json:"by"`
 }
 
-// ApplyReply says what became of a change.
+// ApplyReply is the result of a configuration change.
 type ApplyReply struct {
 	Outcome   Outcome          `json:"outcome"`
 	Revision  config.Revision  `json:"revision"`
@@ -46,43 +46,43 @@
 	Reason    string           `json:"reason,omitempty"`
 }
 
-// ConfigRequest asks for updates after a revision.
+// ConfigRequest requests the updates after a revision.
 type ConfigRequest struct {
 	From config.Revision `json:"from"`
 }
 
-// ClaimRequest claims a key for one run by one holder.
+// ClaimRequest claims an idempotency key, so that one holder may execute the call once.
 type ClaimRequest struct {
 	Key string `json:"key"`
-	// Token names this attempt, so that it gets the same answer when it asks again.
+	// Token identifies the attempt. A repeated request with the same token gets the same reply.
 	Token  string          `json:"token"`
 	Holder string          `json:"holder"`
 	Expiry config.Duration `json:"expiry"`
 }
 
-// ClaimState says what is known of a claimed key.
+// ClaimState is the state of a claimed key.
 type ClaimState string
 
-// The states of a claim.
+// Claim states.
 const (
-	// ClaimYours means that the asker, and nobody else, may run the call.
+	// ClaimYours means that only the requester may execute the call.
 	ClaimYours ClaimState = "yours"
-	// ClaimRunning means that another attempt runs it.
+	// ClaimRunning means that another attempt is executing the call.
 	ClaimRunning ClaimState = "running"
-	// ClaimDone means that it ran to its end.
+	// ClaimDone means that the call has completed.
 	ClaimDone ClaimState = "done"
-	// ClaimLost means that whether it ran can't be known.
+	// ClaimLost means that it cannot be determined whether the call was executed.
 	ClaimLost ClaimState = "unknown"
 )
 
-// ClaimReply answers a claim.
+// ClaimReply is the reply to a ClaimRequest.
 type ClaimReply struct {
 	Outcome Outcome    `json:"outcome"`
 	State   ClaimState `json:"state,omitempty"`
 }
 
-// SettleRequest says what became of a run: done, unknown, or (Released) that
-// it certainly did not run, which frees the key.
+// SettleRequest reports the result of a claimed call: State is done or unknown. Released is set if the
+// call was certainly not executed, which frees the key.
 type SettleRequest struct {
 	Key      string     `json:"key"`
 	Token    string     `json:"token"`
@@ -90,12 +90,12 @@
 	Released bool       `json:"released,omitempty"`
 }
 
-// SettleReply answers a settle.
+// SettleReply is the reply to a SettleRequest.
 type SettleReply struct {
 	Outcome Outcome `json:"outcome"`
 }
 
-// GrantRequest asks for authority over a zone; Epoch is the one held, 0 for none.
+// GrantRequest requests authority over a zone. Epoch is that of the authority already held, or 0.
 type GrantRequest struct {
 	Zone    string `json:"zone"`
 	Holder  string `json:"holder"`
@@ -103,7 +103,7 @@
 	Epoch   uint64 `json:"epoch,omitempty"`
 }
 
-// GrantReply answers a grant; the lease runs from when the request was sent.
+// GrantReply is the reply to a GrantRequest. The lease starts when the request was sent.
 type GrantReply struct {
 	Outcome Outcome         `json:"outcome"`
 	Epoch   uint64          `json:"epoch,omitempty"`
@@ -111,7 +111,7 @@
 	Reason  string          `json:"reason,omitempty"`
 }
 
-// Heartbeat tells who lives, where, and which revision is in force there.
+// Heartbeat reports that a process is alive, its address and its configuration revision.
 type Heartbeat struct {
 	Node     string          `json:"node"`
 	Role     string          `json:"role"`
@@ -122,33 +122,33 @@
 	Control  ControlCost     `json:"control"`
 }
 
-// ControlCost is what a process spent on control since it started.
+// ControlCost is the control traffic, CPU time and memory use of a process since it started.
 type ControlCost struct {
 	BytesIn  int64           `json:"bytesIn"`
 	BytesOut int64           `json:"bytesOut"`
 	Messages int64           `json:"messages"`
 	CPU      config.Duration `json:"cpu"`
 	Resident config.Bytes    `json:"resident"`
-	// Anonymous is the resident memory that is not file pages.
+	// Anonymous is the resident memory that is not backed by files.
 	Anonymous config.Bytes    `json:"anonymous"`
 	Uptime    config.Duration `json:"uptime"`
 }
 
-// HeartbeatReply names peers in the same availability zone.
+// HeartbeatReply lists peers in the same availability zone.
 type HeartbeatReply struct {
 	Peers []string `json:"peers,omitempty"`
 }
 
-// MembersRequest adds or removes a control.
+// MembersRequest adds, promotes or removes a control node.
 type MembersRequest struct {
 	AddLearner raft.ID `json:"addLearner,omitempty"`
 	Promote    raft.ID `json:"promote,omitempty"`
 	Remove     raft.ID `json:"remove,omitempty"`
-	// Forwarded says that a node which does not lead has passed the request on.
+	// Forwarded is set if a node that is not the leader forwarded the request.
 	Forwarded bool `json:"forwarded,omitempty"`
 }
 
-// MembersReply answers a change of members.
+// MembersReply is the reply to a MembersRequest.
 type MembersReply struct {
 	Outcome Outcome      `json:"outcome"`
 	Members raft.Members `json:"members"`
@@ -160,23 +160,23 @@
 	ID raft.ID `json:"id"`
 }
 
-// HeldReply answers for the asked id; Known is false if this control node can't say.
+// HeldReply is the reply to a HeldRequest. Known is false if the responding node cannot tell.
 type HeldReply struct {
 	Known  bool   `json:"known"`
 	Term   uint64 `json:"term"`
 	Index  uint64 `json:"index"`
 	Member bool   `json:"member"`
-	// Started says that the installation has been founded already.
+	// Started is set if the installation has already been founded.
 	Started bool `json:"started"`
 }
 
-// NodeStatus is what a control node last heard of a process.
+// NodeStatus is the last heartbeat of a process and when it was received.
 type NodeStatus struct {
 	Heartbeat
 	SeenAt time.Time `json:"seenAt"`
 }
 
-// SeenReport names the processes that a control node hears, for the leader.
+// SeenReport lists the processes a control node receives heartbeats from. It is sent to the leader.
 type SeenReport struct {
 	Nodes []string `json:"nodes"`
 }
--- a/src/wire/doc.go
+++ b/src/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages between moorspool's own processes and the
-// names of the methods that carry them.
+// Package wire defines the messages between moorspool's processes and the RPC method names
+// they are sent with.
 package wire
--- a/src/wire/document_test.go
+++ b/src/wire/document_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackedConfigurationsComeBackToTheByte(t *testing.T) {
+func TestUnpackReversesPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := rapid.SliceOf(rapid.Byte()).Draw(t, "raw")
 		got, err := Unpack(Pack(raw))
 		if err != nil || !bytes.Equal(got, raw) {
-			t.Fatalf("%v came back as %v, %v", raw, got, err)
+			t.Fatalf("unpacked %v as %v, %v", raw, got, err)
 		}
 	})
 }
 
-func TestDamagedBytesAreAnError(t *testing.T) {
+func TestUnpackRejectsTruncatedInput(t *testing.T) {
 	packed := Pack(bytes.Repeat([]byte("route "), 100))
 	if _, err := Unpack(packed[:len(packed)/2]); err == nil {
-		t.Error("half of a packed configuration was taken for a whole one")
+		t.Error("Unpack accepted a truncated configuration")
 	}
 }
--- a/src/wire/holdings.go
+++ b/src/wire/holdings.go
@@ -1,46 +1,46 @@
 package wire
 
-// Holdings tell which copies were just loaded or are about to go, so that
-// gateways need not wait for the replicas' next word. A publisher sends them
-// whole once and as differences from then on.
+// Holdings reports copies that were just loaded or are about to be unloaded, so that
+// gateways need not wait for the replicas' next reports. The first message of a publisher is
+// complete; later ones contain only the differences.
 type Holdings struct {
-	// Term orders holdings of different holders.
+	// Term orders the Holdings of different publishers.
 	Term    uint64 `json:"term"`
 	Version uint64 `json:"version"`
-	// Base is the version that Copies and Gone change, 0 if Copies are all there are.
+	// Base is the version that Copies and Gone modify, or 0 if Copies is complete.
 	Base   uint64    `json:"base,omitempty"`
 	Copies []Holding `json:"copies,omitempty"`
-	// Gone are copies of the base of which nothing is said any more.
+	// Gone lists the copies of the base that are no longer reported.
 	Gone []Holding `json:"gone,omitempty"`
-	// Coming are the models without a copy of which one is being loaded, all of them in each
+	// Coming lists the models whose first copy is being loaded. Unlike Copies, it is complete in every
 	// message.
 	Coming []Coming `json:"coming,omitempty"`
 }
 
-// Coming is a model of which the first copy is being loaded.
+// Coming is a model whose first copy is being loaded.
 type Coming struct {
 	Service string `json:"service"`
 	Model   string `json:"model"`
-	// InMS is after how many milliseconds it is expected to serve, as of the message.
+	// InMS is the expected time until it is ready, in milliseconds after the message.
 	InMS int64 `json:"inMs"`
 }
 
-// Holding is one model, or an adapter of it, on a replica.
+// Holding is a copy of a model, or of an adapter of it, on a replica.
 type Holding struct {
 	Replica string `json:"replica"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Leaving copies get no new requests; others are there now.
+	// Leaving is set for copies that get no new requests. All others are loaded.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// key is the holding without what is said of it.
+// key returns the Holding without its state.
 func (h Holding) key() Holding {
 	h.Leaving = false
 	return h
 }
 
-// Since returns what turns earlier whole holdings of the same term into these.
+// Since returns the difference from earlier complete holdings of the same term.
 func (h *Holdings) Since(earlier *Holdings) *Holdings {
 	delta := &Holdings{Term: h.Term, Version: h.Version, Base: earlier.Version, Coming: h.Coming}
 	known := make(map[Holding]bool, len(earlier.Copies))
@@ -60,8 +60,8 @@
 	return delta
 }
 
-// With returns whole holdings with a difference applied; false if the difference
-// is not one of theirs.
+// With returns the complete holdings after applying a difference. It returns false if the difference
+// has another base.
 func (h *Holdings) With(delta *Holdings) (*Holdings, bool) {
 	if delta.Term != h.Term || delta.Base != h.Version {
 		return nil, false
--- a/src/wire/holdings_test.go
+++ b/src/wire/holdings_test.go
@@ -10,13 +10,13 @@
 
 func drawHoldings(t *rapid.T, version uint64) *Holdings {
 	h := &Holdings{Term: 3, Version: version}
-	taken := map[Holding]bool{}
+	used := map[Holding]bool{}
 	for range rapid.IntRange(0, 12).Draw(t, "copies") {
 		held := Holding{Replica: fmt.Sprint("r", rapid.IntRange(0, 3).Draw(t, "replica")), Model: fmt.Sprint("m", rapid.IntRange(0, 2).Draw(t, "model")), Adapter: rapid.SampledFrom([]string{"", "a1"}).Draw(t, "adapter")}
-		if taken[held] {
+		if used[held] {
 			continue
 		}
-		taken[held] = true
+		used[held] = true
 		held.Leaving = rapid.Bool().Draw(t, "leaving")
 		h.Copies = append(h.Copies, held)
 	}
@@ -31,9 +31,9 @@
 	return set
 }
 
-// TestDifferencesOfHoldingsGiveTheWhole: over any run of changes, what is put
-// together from differences is what was published.
-func TestDifferencesOfHoldingsGiveTheWhole(t *testing.T) {
+// TestHoldingsDifferencesReproducePublishedState: holdings reconstructed from differences
+// must equal the published ones after any sequence of changes.
+func TestHoldingsDifferencesReproducePublishedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		published := drawHoldings(t, 1)
 		known := published
@@ -42,14 +42,14 @@
 			delta := next.Since(published)
 			if rapid.Bool().Draw(t, "an old difference comes first") {
 				if _, fits := known.With(&Holdings{Term: 3, Version: version, Base: version - 2}); fits {
-					t.Fatal("a difference from another version was taken")
+					t.Fatal("a difference with another base was applied")
 				}
 			}
-			whole, fits := known.With(delta)
-			if !fits || !maps.Equal(asSet(whole), asSet(next)) {
-				t.Fatalf("%+v with %+v is %+v, not %+v", known, delta, whole, next)
+			applied, fits := known.With(delta)
+			if !fits || !maps.Equal(asSet(applied), asSet(next)) {
+				t.Fatalf("%+v with %+v is %+v, not %+v", known, delta, applied, next)
 			}
-			published, known = next, whole
+			published, known = next, applied
 		}
 	})
 }
--- a/src/wire/inventory_test.go
+++ b/src/wire/inventory_test.go
@@ -13,27 +13,27 @@
 	"testing"
 )
 
-// writtenForms are the files whose structs other builds read: messages between processes, commands of
-// the replicated log, snapshots and what lies on disks.
-var writtenForms = []string{
+// serializedFiles are the files with structs that other builds read: messages between processes, commands
+// in the replicated log, snapshots and files on disk.
+var serializedFiles = []string{
 	"../wire/*.go", "../registry/*.go", "../quarantine/table.go", "../control/*.go", "../raft/*.go", "../store/*.go", "../config/*.go",
 }
 
-// untagged are the structs there that are written by the names of their fields.
-var untagged = []string{
+// untaggedStructs are the structs in these files that are serialized under their Go field names.
+var untaggedStructs = []string{
 	"control.changeCommand", "control.grantCommand", "control.claimCommand", "control.settleCommand", "control.deletion",
 	"control.answered",
 }
 
-// inventoryFile is the list of all that is written, as it stood when it was last agreed to.
+// inventoryFile is the reviewed list of all serialized fields and methods.
 const inventoryFile = "testdata/inventory.txt"
 
-// TestWhatIsWrittenIsInTheInventory
+// TestWhatIsWrittenIsInTheInventory detects incompatible changes of serialized data.
 //
-// Two builds run side by side during an upgrade, and a folder may be read by the one before. A field that
-// is renamed, or changes its type or number, or a command that is new, is read wrongly there without a
-// sound. Whoever changes one of these forms says in docs/design/upgrades.md what earlier and later builds
-// make of it, and writes the list anew with UPDATE_INVENTORY=1.
+// During an upgrade two builds run at the same time, and the earlier build may read a data folder written by
+// the later one. It silently misreads a renamed field, a field with another type or number, and a new
+// command. A change of such a struct must be accompanied by a description in docs/design/upgrades.md of how
+// earlier and later builds handle it, and by an update of the list with UPDATE_INVENTORY=1.
 func TestWhatIsWrittenIsInTheInventory(t *testing.T) {
 	got := strings.Join(inventory(t), "\n") + "\n"
 	if os.Getenv("UPDATE_INVENTORY") != "" {
@@ -53,23 +53,23 @@
 	}
 	for _, line := range known {
 		if !slices.Contains(now, line) {
-			t.Errorf("is no longer written so: %s", line)
+			t.Errorf("is no longer serialized like this: %s", line)
 		}
 	}
 }
 
-// inventory returns a line for each field that others read, and one for each method that they call.
+// inventory returns a line for each serialized field and each method.
 func inventory(t *testing.T) []string {
 	t.Helper()
 	var lines []string
-	for _, pattern := range writtenForms {
+	for _, pattern := range serializedFiles {
 		files, err := filepath.Glob(pattern)
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s names no file: %v", pattern, err)
 		}
 		for _, file := range files {
 			if !strings.HasSuffix(file, "_test.go") {
-				lines = append(lines, formsOf(t, file)...)
+				lines = append(lines, linesOfFile(t, file)...)
 			}
 		}
 	}
@@ -77,8 +77,8 @@
 	return slices.Compact(lines)
 }
 
-// formsOf returns the lines of one file.
-func formsOf(t *testing.T, file string) []string {
+// linesOfFile returns the inventory lines of one file.
+func linesOfFile(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -89,7 +89,7 @@
 		switch spec := n.(type) {
 		case *ast.TypeSpec:
 			if form, found := spec.Type.(*ast.StructType); found {
-				lines = append(lines, fieldsOf(parsed.Name.Name+"."+spec.Name.Name, form)...)
+				lines = append(lines, linesOfStruct(parsed.Name.Name+"."+spec.Name.Name, form)...)
 			}
 		case *ast.ValueSpec:
 			if len(spec.Values) == 1 && strings.HasPrefix(spec.Names[0].Name, "Method") {
@@ -101,8 +101,8 @@
 	return lines
 }
 
-// fieldsOf returns the lines of one struct.
-func fieldsOf(name string, form *ast.StructType) []string {
+// linesOfStruct returns the inventory lines of one struct.
+func linesOfStruct(name string, form *ast.StructType) []string {
 	var lines []string
 	for _, field := range form.Fields.List {
 		tag := ""
@@ -110,7 +110,7 @@
 			tag = " " + field.Tag.Value
 		}
 		for _, one := range field.Names {
-			if tag != "" || one.IsExported() && slices.Contains(untagged, name) {
+			if tag != "" || one.IsExported() && slices.Contains(untaggedStructs, name) {
 				lines = append(lines, fmt.Sprintf("%s.%s %s%s", name, one.Name, types.ExprString(field.Type), tag))
 			}
 		}
--- a/src/wire/load.go
+++ b/src/wire/load.go
@@ -1,39 +1,39 @@
 package wire
 
-// LoadReport is what a gateway has under way, or several gateways together.
+// LoadReport lists the requests in flight of one gateway, or of several combined.
 type LoadReport struct {
-	// Node is who reports; it is left out of totals.
+	// Node is the reporting process. It is empty in totals.
 	Node  string        `json:"node,omitempty"`
 	Loads []ReplicaLoad `json:"loads,omitempty"`
 }
 
-// ReplicaLoad is what is under way at one replica. Its names are short since it is
-// sent many times a second.
+// ReplicaLoad is the load in flight at one replica. JSON keys are short because it is sent many times
+// a second.
 type ReplicaLoad struct {
 	Replica string `json:"r"`
-	// Running is the number of requests sent and not ended.
+	// Running is the number of requests in flight.
 	Running int `json:"n,omitempty"`
-	// UnreadMS is the time that the replica needs for prompts that it was sent and
-	// has not read yet, in milliseconds.
+	// UnreadMS is the time in milliseconds that the replica needs for the prompts it was sent and has not
+	// processed yet.
 	UnreadMS int `json:"u,omitempty"`
 }
 
-// SentReport names prompts that were sent to replicas.
+// SentReport lists prompts that were sent to replicas.
 type SentReport struct {
 	Sent []Sent `json:"s"`
 }
 
-// Sent is one prompt, or several, that a replica was sent. Its names are short since it
-// is sent many times a second.
+// Sent represents one or more prompts sent to a replica. JSON keys are short because it is sent
+// many times a second.
 type Sent struct {
 	Replica string `json:"r"`
-	// ReadMS is the time that the replica needs to read them, in milliseconds.
+	// ReadMS is the time the replica needs to process them, in milliseconds.
 	ReadMS int `json:"t"`
 }
 
-// Backlogs tell how long replicas need for the prompts that all gateways have sent them.
+// Backlogs reports how long replicas need to process the outstanding prompts of all gateways.
 type Backlogs struct {
-	// Packed is the replicas with their backlogs, as package loadview packs them: JSON
-	// objects would cost a gateway more than all else that it is told.
+	// Packed is the list of replicas and backlogs as encoded by package loadview. Decoding JSON
+	// objects would cost a gateway more than everything else it receives.
 	Packed []byte `json:"p,omitempty"`
 }
--- a/src/wire/method.go
+++ b/src/wire/method.go
@@ -1,40 +1,40 @@
 package wire
 
-// The methods of the control protocol; a notification wants no answer.
+// Methods of the control protocol. A notification has no response.
 const (
 	// MethodStep carries a raft.Message between control nodes (notification).
 	MethodStep = "raft.step"
-	// MethodApply asks for a change of configuration.
+	// MethodApply requests a configuration change.
 	MethodApply = "control.apply"
-	// MethodConfig asks for the configuration from a revision on.
+	// MethodConfig requests the configuration updates after a revision.
 	MethodConfig = "config.get"
 	// MethodWatchConfig starts a stream of MethodUpdate notifications.
 	MethodWatchConfig = "config.watch"
 	// MethodUpdate carries a config.Update (notification).
 	MethodUpdate = "config.update"
-	// MethodClaim claims a once key for one run.
+	// MethodClaim claims an idempotency key, so that the call is executed once.
 	MethodClaim = "control.claim"
-	// MethodSettle says what became of a claimed run.
+	// MethodSettle reports the result of a claimed call.
 	MethodSettle = "control.settle"
-	// MethodGrant asks for or renews a planner's authority.
+	// MethodGrant requests or renews a planner's authority.
 	MethodGrant = "control.grant"
-	// MethodHeartbeat tells the control nodes that a process lives.
+	// MethodHeartbeat reports to the control nodes that a process is alive.
 	MethodHeartbeat = "control.heartbeat"
-	// MethodSeen tells the leader whom a control node hears (notification).
+	// MethodSeen tells the leader which processes a control node receives heartbeats from (notification).
 	MethodSeen = "control.seen"
-	// MethodMembers changes the control nodes' own membership.
+	// MethodMembers changes the membership of the control nodes.
 	MethodMembers = "control.members"
 	// MethodHeld asks the leader how much a control node is known to have stored.
 	MethodHeld = "control.held"
-	// MethodPutDocument asks for a whole configuration to be put in force.
+	// MethodPutDocument asks to put a complete configuration into effect.
 	MethodPutDocument = "document.put"
 	// MethodReadDocument asks the leader for the newest accepted configuration.
 	MethodReadDocument = "document.read"
-	// MethodZoneTicket asks the leader for what an order about a zone has to name.
+	// MethodZoneTicket asks the leader for the ticket that an order for a zone must include.
 	MethodZoneTicket = "zone.ticket"
-	// MethodZoneOrder asks the leader to drain a zone or to end that.
+	// MethodZoneOrder asks the leader to start or stop draining a zone.
 	MethodZoneOrder = "zone.order"
-	// MethodZoneDrain asks any control node for that, for an operator.
+	// MethodZoneDrain is MethodZoneOrder for operators, who may ask any control node.
 	MethodZoneDrain = "zone.drain"
 	// MethodZoneDrains asks a control node which zones are drained.
 	MethodZoneDrains = "zone.drains"
@@ -42,58 +42,59 @@
 	MethodWatchFeed = "feed.watch"
 	// MethodFeed carries a FeedUpdate (notification).
 	MethodFeed = "feed.update"
-	// MethodFetchDocument asks a control node for the configuration that it has applied.
+	// MethodFetchDocument asks a control node for the configuration it has applied.
 	MethodFetchDocument = "feed.document"
-	// MethodNote tells a control node of a replica that leaves.
+	// MethodNote tells a control node that a replica is leaving.
 	MethodNote = "feed.note"
-	// MethodUsage tells a control node what a gateway's requests ask for (notification).
+	// MethodUsage tells a control node the demand of a gateway's requests (notification).
 	MethodUsage = "feed.usage"
-	// MethodUsageSum tells another control node what the gateways of one ask for (notification).
+	// MethodUsageSum tells another control node the combined demand of a control node's gateways (notification).
 	MethodUsageSum = "feed.usageSum"
-	// MethodLoad tells a control node what a gateway has under way (notification).
+	// MethodLoad tells a control node which requests a gateway has in flight (notification).
 	MethodLoad = "load.report"
-	// MethodLoadTotals tells a gateway what all have under way (notification).
+	// MethodLoadTotals tells a gateway which requests all gateways have in flight (notification).
 	MethodLoadTotals = "load.totals"
-	// MethodLoadSum tells a control node what the gateways of another have under way (notification).
+	// MethodLoadSum tells another control node which requests a control node's gateways have in flight
+	// (notification).
 	MethodLoadSum = "load.sum"
-	// MethodSent tells a control node which prompts a gateway has sent (notification).
+	// MethodSent tells a control node which prompts a gateway has sent to replicas (notification).
 	MethodSent = "load.sent"
-	// MethodSentSum tells another control node which prompts the gateways of one have
-	// sent (notification).
+	// MethodSentSum tells another control node which prompts a control node's gateways have sent to replicas
+	// (notification).
 	MethodSentSum = "load.sentSum"
-	// MethodBacklogs tells a gateway what replicas have still to read (notification).
+	// MethodBacklogs tells a gateway the prompt backlogs of replicas (notification).
 	MethodBacklogs = "load.backlogs"
-	// MethodAdmit asks a control node to let a request of a client account pass.
+	// MethodAdmit asks a control node to admit a request of a client account.
 	MethodAdmit = "quota.admit"
-	// MethodLease asks the leader for a control node's parts of all accounts' limits.
+	// MethodLease asks the leader for a control node's shares of all accounts' quotas.
 	MethodLease = "quota.lease"
-	// MethodDraw asks the leader for units that no control node has.
+	// MethodDraw asks the leader for units outside the control nodes' shares.
 	MethodDraw = "quota.draw"
-	// MethodPlace asks a control node for a place of a service's replicas.
+	// MethodPlace asks a control node for a slot on one of a service's replicas.
 	MethodPlace = "dispatch.place"
-	// MethodAssign asks the leader for it.
+	// MethodAssign asks the leader for such a slot.
 	MethodAssign = "dispatch.assign"
-	// MethodRelease tells a control node how a request with a place ended (notification).
+	// MethodRelease tells a control node how a request that had a slot ended (notification).
 	MethodRelease = "dispatch.release"
-	// MethodReleased tells the leader so (notification).
+	// MethodReleased tells the leader how a request that had a slot ended (notification).
 	MethodReleased = "dispatch.released"
-	// MethodPermit asks a control node for a permit for a request to a cold or limited replica.
+	// MethodPermit asks a control node for a permit to send a request to a cold or limited replica.
 	MethodPermit = "warmup.permit"
-	// MethodPermitIssue asks the leader for it.
+	// MethodPermitIssue asks the leader for such a permit.
 	MethodPermitIssue = "warmup.issue"
 	// MethodLimits tells gateways and control nodes which replicas are limited (notification).
 	MethodLimits = "limits.told"
-	// MethodQuarantine tells a control node of contents under which replicas ended.
+	// MethodQuarantine tells a control node about request contents that replicas terminated on.
 	MethodQuarantine = "quarantine.told"
-	// MethodQuarantineList asks a control node for all that it knows of.
+	// MethodQuarantineList asks a control node for its quarantine list.
 	MethodQuarantineList = "quarantine.list"
-	// MethodQuarantineLift asks a control node to let a content through again.
+	// MethodQuarantineLift asks a control node to remove a request content from quarantine.
 	MethodQuarantineLift = "quarantine.lift"
-	// MethodStatus asks a process about itself and what it knows.
+	// MethodStatus asks a process for its status.
 	MethodStatus = "process.status"
 	// MethodEvents asks for a process's events.
 	MethodEvents = "process.events"
-	// MethodCut switches a test's cut.
+	// MethodCut sets the network partition that a test simulates in a process.
 	MethodCut = "process.cut"
 	// MethodWatchRoutes starts a stream of MethodRoutes notifications.
 	MethodWatchRoutes = "planner.watch"
@@ -101,10 +102,10 @@
 	MethodRoutes = "planner.routes"
 	// MethodDemand carries a DemandReport to a planner (notification).
 	MethodDemand = "planner.demand"
-	// MethodDrain tells a planner to move everything off a host.
+	// MethodDrain asks a planner to move everything off a host.
 	MethodDrain = "planner.drain"
 	// MethodPlan asks a planner what it would do.
 	MethodPlan = "planner.plan"
-	// MethodPeerRoutes asks a gateway for the routes that it knows.
+	// MethodPeerRoutes asks a gateway for its known routes.
 	MethodPeerRoutes = "entry.routes"
 )
--- a/src/wire/permit.go
+++ b/src/wire/permit.go
@@ -1,18 +1,20 @@
 package wire
 
-// PermitRequest asks for a permit for one request to a replica that takes only so many over all
-// gateways, because it is cold or names a limit, and tells what the gateway knows of the limit.
+// PermitRequest asks for a permit to send one request to a replica whose request rate is limited across
+// all gateways, because the replica is cold or has announced a limit. It also reports what the gateway
+// knows about the limit.
 type PermitRequest struct {
 	Service string `json:"s"`
 	Replica string `json:"r"`
-	// WithinMS is how many milliseconds the request can wait for its permit, below 0 if the gateway
-	// only tells.
+	// WithinMS is how long the request can wait for its permit, in milliseconds. It is negative if the
+	// gateway only reports.
 	WithinMS int64 `json:"w"`
 	Priority int   `json:"p,omitempty"`
-	// Warm is set if the replica is not cold: earlier builds ask for cold ones only.
+	// Warm is set if the replica is not cold. Earlier builds do not set it and ask only for cold replicas.
 	Warm bool `json:"m,omitempty"`
-	// Limited and PerSecond are the replica's limit, Heard says that an answer told it, to a request
-	// with the permit of that number and term, and that no issuer knows it yet.
+	// Limited and PerSecond are the replica's limit. Heard is set if the limit comes from a response of the
+	// replica that no issuer knows of yet. Term and Permit then identify the permit of the request that got
+	// this response.
 	Limited   bool    `json:"l,omitempty"`
 	PerSecond float64 `json:"n,omitempty"`
 	Heard     bool    `json:"h,omitempty"`
@@ -20,14 +22,15 @@
 	Permit    uint64  `json:"i,omitempty"`
 }
 
-// PermitReply answers a PermitRequest. Known is false if nobody in reach may issue permits.
+// PermitReply is the reply to a PermitRequest. Known is false if no reachable node issues permits.
 type PermitReply struct {
 	Known   bool `json:"k,omitempty"`
 	Granted bool `json:"g,omitempty"`
-	// WaitUS is after how many microseconds the permit may be used, or would have been.
+	// WaitUS is the delay in microseconds until the permit may be used, or until it could have been if it was
+	// not granted.
 	WaitUS int64 `json:"w,omitempty"`
-	// Limits is set by builds that issue for limits. Limited and PerSecond are then the limit in force
-	// as of a version of the issuer's term, Permit is the number of what was granted.
+	// Limits is set by builds that support limits of warm replicas. Limited and PerSecond are then the limit
+	// in effect as of Version of the issuer's Term, and Permit is the number of the granted permit.
 	Limits    bool    `json:"v,omitempty"`
 	Limited   bool    `json:"l,omitempty"`
 	PerSecond float64 `json:"n,omitempty"`
@@ -36,8 +39,8 @@
 	Permit    uint64  `json:"i,omitempty"`
 }
 
-// Limits tell which replicas name a limit, or lately named one, as of a version of an issuer's term, or
-// of term 0 by what gateways heard without an issuer.
+// Limits lists the replicas that have a limit, or had one recently, as of a version of an issuer's term.
+// Term is 0 if the limits come from gateways and not from an issuer.
 type Limits struct {
 	Term    uint64         `json:"t"`
 	Version uint64         `json:"e"`
@@ -47,7 +50,7 @@
 // ReplicaLimit is the limit of one replica.
 type ReplicaLimit struct {
 	Replica string `json:"r"`
-	// Limited is false if the replica has none any more.
+	// Limited is false if the replica no longer has a limit.
 	Limited   bool    `json:"l,omitempty"`
 	PerSecond float64 `json:"n,omitempty"`
 }
--- a/src/wire/permit_test.go
+++ b/src/wire/permit_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// The forms of earlier builds, which know cold replicas only.
+// Messages of earlier builds, which only know cold replicas.
 type earlierPermitRequest struct {
 	Service  string `json:"s"`
 	Replica  string `json:"r"`
@@ -20,8 +20,8 @@
 	WaitUS  int64 `json:"w,omitempty"`
 }
 
-// pass lets one build read what another one wrote.
-func pass(t *testing.T, from, to any) {
+// transcode encodes a message of one build and decodes it as a message of another.
+func transcode(t *testing.T, from, to any) {
 	t.Helper()
 	raw, err := json.Marshal(from)
 	if err == nil {
@@ -32,20 +32,21 @@
 	}
 }
 
-// TestPermitsBetweenBuilds: an earlier gateway's ask is one for a cold replica without a limit, and an
-// earlier leader's answer says nothing of limits, by which a gateway sees that it keeps none.
+// TestPermitsBetweenBuilds: a request from an earlier gateway must be read as one for a cold replica
+// without a limit. A reply from an earlier leader must not have Limits set, which tells the gateway that the
+// leader does not enforce limits.
 func TestPermitsBetweenBuilds(t *testing.T) {
 	is := is.New(t)
 	var request PermitRequest
-	pass(t, earlierPermitRequest{Service: "s", Replica: "r", WithinMS: 70}, &request)
+	transcode(t, earlierPermitRequest{Service: "s", Replica: "r", WithinMS: 70}, &request)
 	is.Equal(request, PermitRequest{Service: "s", Replica: "r", WithinMS: 70})
 	var reply PermitReply
-	pass(t, earlierPermitReply{Known: true, Granted: true, WaitUS: 5}, &reply)
+	transcode(t, earlierPermitReply{Known: true, Granted: true, WaitUS: 5}, &reply)
 	is.Equal(reply, PermitReply{Known: true, Granted: true, WaitUS: 5})
 	var earlier earlierPermitRequest
-	pass(t, PermitRequest{Service: "s", Replica: "r", WithinMS: 70, Warm: true, Limited: true, PerSecond: 5, Heard: true, Term: 2, Permit: 9}, &earlier)
+	transcode(t, PermitRequest{Service: "s", Replica: "r", WithinMS: 70, Warm: true, Limited: true, PerSecond: 5, Heard: true, Term: 2, Permit: 9}, &earlier)
 	is.Equal(earlier, earlierPermitRequest{Service: "s", Replica: "r", WithinMS: 70})
 	var earlierReply earlierPermitReply
-	pass(t, PermitReply{Known: true, Granted: true, WaitUS: 5, Limits: true, Limited: true, PerSecond: 5, Term: 2, Version: 3, Permit: 9}, &earlierReply)
+	transcode(t, PermitReply{Known: true, Granted: true, WaitUS: 5, Limits: true, Limited: true, PerSecond: 5, Term: 2, Version: 3, Permit: 9}, &earlierReply)
 	is.Equal(earlierReply, earlierPermitReply{Known: true, Granted: true, WaitUS: 5})
 }
--- a/src/wire/process.go
+++ b/src/wire/process.go
@@ -8,10 +8,10 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// Empty is a message without content.
+// Empty is a message without fields.
 type Empty struct{}
 
-// Status is what a process says of itself.
+// Status is the status of a process.
 type Status struct {
 	Node        string             `json:"node"`
 	Role        string             `json:"role"`
@@ -27,7 +27,7 @@
 	Entry       *GatewayStatus     `json:"entry,omitempty"`
 }
 
-// ControlNodeStatus is a control node's part of Status.
+// ControlNodeStatus is the part of Status specific to control nodes.
 type ControlNodeStatus struct {
 	ID       raft.ID      `json:"id"`
 	Role     string       `json:"raftRole"`
@@ -39,12 +39,13 @@
 	CaughtUp bool         `json:"caughtUp"`
 	Claims   int          `json:"claims"`
 	Syncs    uint64       `json:"syncs"`
-	// WriteMS is for how many milliseconds a write to the data folder has been under way, 0 if none is.
+	// WriteMS is how long the current write to the data folder has been in flight, in milliseconds, or 0 if
+	// there is none.
 	WriteMS int64        `json:"writeMs,omitempty"`
 	Nodes   []NodeStatus `json:"nodes,omitempty"`
 }
 
-// PlannerStatus is a planner's part of Status.
+// PlannerStatus is the part of Status specific to planners.
 type PlannerStatus struct {
 	Epoch     uint64 `json:"epoch"`
 	Authority string `json:"authority"`
@@ -56,7 +57,7 @@
 	Unloads   uint64 `json:"unloads"`
 }
 
-// GatewayStatus is a gateway's part of Status.
+// GatewayStatus is the part of Status specific to gateways.
 type GatewayStatus struct {
 	Requests  uint64 `json:"requests"`
 	InFlight  int64  `json:"inFlight"`
@@ -67,27 +68,27 @@
 	Reachable int    `json:"reachable"`
 }
 
-// EventsRequest asks for events after a number; with Wait it waits for the next one.
+// EventsRequest requests the events after a number. With Wait it waits up to that long for one.
 type EventsRequest struct {
 	After uint64          `json:"after"`
 	About string          `json:"about,omitempty"`
 	Wait  config.Duration `json:"wait,omitempty"`
-	// Newest starts at the end instead of at After.
+	// Newest starts after the latest event instead of at After.
 	Newest bool `json:"newest,omitempty"`
 }
 
-// EventsReply carries events and the number to go on from.
+// EventsReply contains events and the number to continue from.
 type EventsReply struct {
 	Last   uint64        `json:"last"`
 	Events []event.Event `json:"events"`
 }
 
-// CutRequest sets the address prefixes that a process can't reach.
+// CutRequest sets the address prefixes a process cannot reach, to simulate a network partition.
 type CutRequest struct {
 	Prefixes []string `json:"prefixes"`
 }
 
-// DrainRequest tells a planner to empty a host, or to take that back.
+// DrainRequest asks a planner to drain a host, or to undo that.
 type DrainRequest struct {
 	Host string `json:"host"`
 	Undo bool   `json:"undo,omitempty"`
--- a/src/wire/quarantine.go
+++ b/src/wire/quarantine.go
@@ -2,20 +2,20 @@
 
 import "github.com/moorspool/moorspool/src/quarantine"
 
-// Quarantine tells of contents under which replicas ended.
+// Quarantine lists quarantined request contents: replicas terminated while they ran requests with them.
 type Quarantine struct {
 	Entries []quarantine.Entry `json:"q"`
 }
 
-// LiftRequest asks to let a content through again.
+// LiftRequest asks to remove a request content from quarantine.
 type LiftRequest struct {
-	// Digest is the beginning of the content's digest, as logs show it.
+	// Digest is a prefix of the content's digest, as shown in logs.
 	Digest string `json:"digest"`
-	// By says who asks.
+	// By identifies the operator.
 	By string `json:"by"`
 }
 
-// LiftReply names the contents that are let through again.
+// LiftReply lists the contents removed from quarantine.
 type LiftReply struct {
 	Lifted []quarantine.Digest `json:"lifted"`
 }
--- a/src/wire/route.go
+++ b/src/wire/route.go
@@ -2,10 +2,10 @@
 
 import "github.com/moorspool/moorspool/src/config"
 
-// HostState is a backend server's standing with a planner.
+// HostState is a planner's view of a backend server.
 type HostState string
 
-// The standings; only live hosts get new work as long as there is one.
+// Host states. Only live hosts get new work, unless there are none.
 const (
 	HostLive    HostState = "live"
 	HostSuspect HostState = "suspect"
@@ -13,27 +13,27 @@
 	HostGone    HostState = "gone"
 )
 
-// HostRoute says what one backend server can serve.
+// HostRoute describes what a backend server can serve.
 type HostRoute struct {
 	Host    string    `json:"host"`
 	Pool    string    `json:"pool"`
 	Address string    `json:"address"`
 	Zone    string    `json:"zone"`
 	State   HostState `json:"state"`
-	// Slots is how many requests the host runs at once at full speed.
+	// Slots is the number of requests the host runs concurrently at full speed.
 	Slots int `json:"slots,omitempty"`
-	// Models lists what is ready; a draining copy is not in it.
+	// Models lists the ready copies, without draining ones.
 	Models []ModelRoute `json:"models,omitempty"`
 }
 
-// ModelRoute is a ready copy with its ready adapters.
+// ModelRoute is a ready copy of a model and its ready adapters.
 type ModelRoute struct {
 	Model    string   `json:"m"`
 	Version  string   `json:"v"`
 	Adapters []string `json:"a,omitempty"`
 }
 
-// RoutesUpdate carries the hosts whose routes changed; Seq only grows in an epoch.
+// RoutesUpdate contains the hosts whose routes changed. Seq only increases within an epoch.
 type RoutesUpdate struct {
 	Zone  string      `json:"zone"`
 	Epoch uint64      `json:"epoch"`
@@ -43,45 +43,45 @@
 	Loads []HostLoad  `json:"loads,omitempty"`
 }
 
-// HostLoad is a backend server's last reported load.
+// HostLoad is the last load reported for a backend server.
 type HostLoad struct {
 	Host    string `json:"h"`
 	Running int    `json:"r"`
 	Waiting int    `json:"w"`
 }
 
-// RoutesRequest starts a stream of routes for a subscriber of a zone.
+// RoutesRequest subscribes to the routes of a zone.
 type RoutesRequest struct {
 	Node string `json:"node"`
 	Zone string `json:"zone"`
 }
 
-// DemandReport counts the requests for each model since the last report.
+// DemandReport lists the demand for each model since the last report.
 type DemandReport struct {
 	Node string `json:"node"`
-	// Taken is the last routes Seq that the node acts on.
+	// Taken is the Seq of the last routes the node has applied.
 	Taken  uint64        `json:"taken"`
 	Epoch  uint64        `json:"epoch"`
 	Models []ModelDemand `json:"models,omitempty"`
 }
 
-// ModelDemand is one model's demand over a report's time.
+// ModelDemand is the demand for one model during a report interval.
 type ModelDemand struct {
 	Model    string `json:"m"`
 	Requests int    `json:"r"`
-	// Busy is the time that requests of the model spent on backend servers, in milliseconds.
+	// Busy is the time that requests for the model spent on backend servers, in milliseconds.
 	Busy int64 `json:"b,omitempty"`
-	// Unserved counts requests that found no ready copy.
+	// Unserved is the number of requests for which no copy was ready.
 	Unserved int `json:"u,omitempty"`
 }
 
-// PlanRequest asks what a planner would do with other objects in force.
+// PlanRequest asks what a planner would do if these objects were in effect.
 type PlanRequest struct {
 	Put    []config.Object `json:"put,omitempty"`
 	Delete []config.Key    `json:"delete,omitempty"`
 }
 
-// PlanStep is one load or unload with its reason.
+// PlanStep is one load or unload and its reason.
 type PlanStep struct {
 	Action      string `json:"action"`
 	Model       string `json:"model"`
@@ -90,13 +90,13 @@
 	Reason      string `json:"reason"`
 }
 
-// PlanReply lists the steps in their order.
+// PlanReply lists the steps in order.
 type PlanReply struct {
 	Steps    []PlanStep `json:"steps"`
 	Unplaced []string   `json:"unplaced,omitempty"`
 }
 
-// RoutesReply carries everything a gateway knows, one update a zone.
+// RoutesReply contains all routes known to a gateway, one update per zone.
 type RoutesReply struct {
 	Zones []RoutesUpdate `json:"zones"`
 }
