--- a/src/dial/dialer.go
+++ b/src/dial/dialer.go
@@ -15,48 +15,49 @@
 	"github.com/moorspool/moorspool/src/fault"
 )
 
-// Error is a failure to connect: not a byte was sent.
+// Error is a failure to connect; nothing was sent.
 type Error struct {
 	address string
 	cause   error
 }
 
-// Error returns what failed.
+// Error returns the address and the cause.
 func (e *Error) Error() string { return "connecting to " + e.address + ": " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// IsDial reports whether an error means that no connection was made.
+// IsDial reports whether an error means that no connection was established.
 func IsDial(err error) bool {
 	var dialErr *Error
 	return errors.As(err, &dialErr)
 }
 
-// Options are a client's times and limits.
+// Options holds the timeouts and limits of a client.
 type Options struct {
 	Dial time.Duration
-	// Read bounds each wait for bytes, not the whole answer.
+	// Read is the timeout of each read, not of the whole response.
 	Read  time.Duration
 	Write time.Duration
-	// Conns bounds the connections to one backend server.
+	// Conns is the maximum number of connections to one backend server.
 	Conns int
-	// Reuse keeps connections for later requests.
+	// Reuse enables keep-alive connections.
 	Reuse bool
-	// Stream hands answers out as they come.
+	// Stream makes response bodies available while they are received.
 	Stream bool
 }
 
-// Client is an HTTP client whose answers can be aborted; it is safe for concurrent use.
+// Client is an HTTP client whose responses can be aborted. It is safe for concurrent use.
 type Client struct {
 	*client.Client
 	dialer *dialer
 }
 
-// idleLimit is how long an unused connection is kept: less than backend servers keep it.
-const idleLimit = 20 * time.Second
+// maxIdleTime is how long an unused connection is kept. It is shorter than the idle timeout of backend
+// servers.
+const maxIdleTime = 20 * time.Second
 
-// New returns a client.
+// New returns a client. cut simulates network partitions in tests and may be nil.
 func New(cut *fault.Cut, options Options) (*Client, error) {
 	d := &dialer{Dialer: cut.NewDialer(), conns: map[string]network.Conn{}}
 	c, err := client.NewClient(
@@ -65,19 +66,19 @@
 		client.WithClientReadTimeout(options.Read),
 		client.WithWriteTimeout(options.Write),
 		client.WithMaxConnsPerHost(options.Conns),
-		client.WithMaxIdleConnDuration(idleLimit),
+		client.WithMaxIdleConnDuration(maxIdleTime),
 		client.WithKeepAlive(options.Reuse),
 		client.WithResponseBodyStream(options.Stream),
 		client.WithNoDefaultUserAgentHeader(true),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "making an HTTP client")
+		return nil, errors.Wrap(err, "creating an HTTP client")
 	}
 	return &Client{Client: c, dialer: d}, nil
 }
 
-// Abort closes the connection that an answer comes on, so that reading it ends
-// at once and the connection is never used again.
+// Abort closes the connection of a response. Reading the response fails at once, and the
+// connection is not reused.
 func (c *Client) Abort(response *protocol.Response) {
 	if address := response.LocalAddr(); address != nil {
 		c.dialer.abort(address.String())
@@ -90,7 +91,7 @@
 	conns map[string]network.Conn
 }
 
-// DialConnection connects and remembers the connection by its local address.
+// DialConnection connects and registers the connection by its local address.
 func (d *dialer) DialConnection(n, address string, timeout time.Duration, tlsConfig *tls.Config) (network.Conn, error) {
 	conn, err := d.Dialer.DialConnection(n, address, timeout, tlsConfig)
 	if err != nil {
@@ -113,7 +114,7 @@
 	}
 }
 
-func (d *dialer) forget(local string, conn network.Conn) {
+func (d *dialer) remove(local string, conn network.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.conns[local] == conn {
@@ -134,18 +135,17 @@
 func (c *trackedConn) Close() error {
 	c.once.Do(func() {
 		c.closed.Store(true)
-		c.dialer.forget(c.local, c)
+		c.dialer.remove(c.local, c)
 		c.err = c.Conn.Close()
 	})
 	return c.err
 }
 
-// SetReadTimeout passes the timeout on.
+// SetReadTimeout sets the read timeout of the underlying connection.
 func (c *trackedConn) SetReadTimeout(t time.Duration) error { return c.Conn.SetReadTimeout(t) }
 
-// SetWriteTimeout is what the library calls before it writes a request. On a
-// connection that was aborted and then kept for reuse it says that not a byte
-// was sent.
+// SetWriteTimeout is called by the HTTP library before it writes a request. For a connection that was
+// aborted and is then reused, it returns an Error to report that nothing was sent.
 func (c *trackedConn) SetWriteTimeout(t time.Duration) error {
 	if c.closed.Load() {
 		return &Error{address: c.RemoteAddr().String(), cause: net.ErrClosed}
@@ -153,7 +153,7 @@
 	return c.Conn.SetWriteTimeout(t)
 }
 
-// ToHertzError keeps hertz's own names for network errors.
+// ToHertzError converts network errors to those of hertz if the underlying connection supports it.
 func (c *trackedConn) ToHertzError(err error) error {
 	if normal, ok := c.Conn.(network.ErrorNormalization); ok {
 		return normal.ToHertzError(err)
--- a/src/dial/doc.go
+++ b/src/dial/doc.go
@@ -1,4 +1,4 @@
-// Package dial makes the HTTP clients that reach backend servers: it tells a
-// failed dial, after which nothing can have run, from every other failure, and
-// lets an answer be abandoned together with its connection.
+// Package dial creates the HTTP clients for backend servers. They report a failure to connect, after
+// which the request cannot have run, separately from all other failures, and allow a response to be
+// aborted by closing its connection.
 package dial
--- a/src/rpc/client.go
+++ b/src/rpc/client.go
@@ -10,22 +10,22 @@
 	"github.com/moorspool/moorspool/src/fault"
 )
 
-// The pauses and bounds of dialing a peer that doesn't answer. Urgent ones are for
-// a process that reaches no peer at all: each lost moment is one without service.
+// Timeouts for connecting to a peer. The urgent ones are for a process that has no connection to any
+// peer and cannot provide service until it has one.
 const (
-	// redialAfter bounds how often a client dials.
-	redialAfter       = 200 * time.Millisecond
-	redialAfterUrgent = 20 * time.Millisecond
-	// dialTimeoutUrgent is many round trips between availability zones, and ends a
-	// dial to a host without power, which never answers.
-	dialTimeoutUrgent = 80 * time.Millisecond
+	// redialDelay is the minimum time from a failed dial to the next one.
+	redialDelay       = 200 * time.Millisecond
+	urgentRedialDelay = 20 * time.Millisecond
+	// urgentDialTimeout allows many round trips between availability zones. It limits a dial to a
+	// host that is powered off and never answers.
+	urgentDialTimeout = 80 * time.Millisecond
 )
 
-// ErrUnreachable is what a call ends with when there is no connection.
+// ErrUnreachable is returned by calls when no connection can be made.
 var ErrUnreachable = errors.New("the peer can't be reached")
 
-// Client is a connection to one address that is made when needed and made
-// again after it was lost; it is safe for concurrent use.
+// Client is a connection to one address. It connects on demand and reconnects after a
+// failure. It is safe for concurrent use.
 type Client struct {
 	address string
 	mux     *Mux
@@ -41,28 +41,29 @@
 	closed   bool
 }
 
-// NewClient returns a client of an address; mux takes what the peer sends on
-// its own. A connection on which a ping is not answered within silence is ended.
+// NewClient returns a client for an address. mux handles the messages that the peer sends. If nothing
+// is received for the duration silence, the client sends a ping, and closes the connection if that is not
+// answered within the same duration. cut simulates network partitions in tests and may be nil.
 func NewClient(address string, mux *Mux, meter *Meter, cut *fault.Cut, silence time.Duration) *Client {
 	return &Client{address: address, mux: mux, meter: meter, cut: cut, silence: silence}
 }
 
-// SetUrgent sets the function that tells whether dials are urgent; it is called
+// SetUrgent sets the function that reports whether dials are urgent. It must be called
 // before the client is used.
 func (c *Client) SetUrgent(urgent func() bool) { c.urgent = urgent }
 
-// pace returns the pause between dials and the bound of one.
-func (c *Client) pace() (pause, timeout time.Duration) {
+// dialTiming returns the delay between dials and the timeout of a dial.
+func (c *Client) dialTiming() (delay, timeout time.Duration) {
 	if c.urgent != nil && c.urgent() {
-		return redialAfterUrgent, dialTimeoutUrgent
+		return urgentRedialDelay, urgentDialTimeout
 	}
-	return redialAfter, dialTimeout
+	return redialDelay, dialTimeout
 }
 
 // Address returns the peer's address.
 func (c *Client) Address() string { return c.address }
 
-// Call sends a request and waits for its answer.
+// Call sends a request and waits for the response.
 func (c *Client) Call(ctx context.Context, method string, params, result any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return conn.Call(ctx, method, raw, result)
 }
 
-// Notify sends a message that wants no answer; the context bounds the wait for a connection.
+// Notify sends a message without a response. The context limits the wait for a connection.
 func (c *Client) Notify(ctx context.Context, method string, params any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -89,8 +90,8 @@
 	return conn.notify(n)
 }
 
-// Done returns a channel that is closed when the present connection ends; it
-// is closed already if there is none.
+// Done returns a channel that is closed when the current connection ends. It
+// is already closed if there is no connection.
 func (c *Client) Done() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +103,7 @@
 	return ended
 }
 
-// Disconnect ends the present connection; the next call makes a new one.
+// Disconnect closes the current connection. The next call opens a new one.
 func (c *Client) Disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// Close ends the connection for good.
+// Close closes the connection permanently.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,9 +122,9 @@
 	}
 }
 
-// connect returns the live connection, or waits for the one dial under way.
+// connect returns the open connection, or waits for the dial in progress.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
-	pause, timeout := c.pace()
+	delay, timeout := c.dialTiming()
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -135,7 +136,7 @@
 		return conn, nil
 	}
 	if c.dialing == nil {
-		if time.Since(c.failedAt) < pause {
+		if time.Since(c.failedAt) < delay {
 			c.mu.Unlock()
 			return nil, errors.Wrap(ErrUnreachable, c.address)
 		}
@@ -177,8 +178,8 @@
 	go c.watch(conn, metered)
 }
 
-// watch ends a connection whose peer has gone silent, as after a cut. A ping is
-// sent only when nothing else came for a while.
+// watch closes the connection if the peer is unresponsive, for example because of a network partition.
+// It sends a ping only when nothing was received for a while.
 func (c *Client) watch(conn *connection, raw *meteredConn) {
 	ticker := time.NewTicker(c.silence)
 	defer ticker.Stop()
--- a/src/rpc/client_test.go
+++ b/src/rpc/client_test.go
@@ -7,26 +7,26 @@
 	"github.com/matryer/is"
 )
 
-// TestADialEndsBeforeTheKernelTriesAgain: a host without power answers nothing, and
-// the kernel repeats an opening packet after a second; a gateway that waits that long
-// for a control node that has come back has no configuration meanwhile.
-func TestADialEndsBeforeTheKernelTriesAgain(t *testing.T) {
-	const firstRetransmission = time.Second
+// TestDialTimeoutIsBelowSynRetransmission: a powered-off host does not answer, and the kernel repeats a SYN
+// after one second. A gateway that waits that long for a control node that is back has no configuration
+// in the meantime.
+func TestDialTimeoutIsBelowSynRetransmission(t *testing.T) {
+	const synRetransmission = time.Second
 	is := is.New(t)
-	is.True(dialTimeout+redialAfter < firstRetransmission/2)
+	is.True(dialTimeout+redialDelay < synRetransmission/2)
 }
 
-// TestUrgentDialsFollowOneAnother: a process that reaches no peer dials again and
-// again, so that it finds one within some round trips of its start.
-func TestUrgentDialsFollowOneAnother(t *testing.T) {
+// TestUrgentDialsAreFrequent: a process without any peer must redial quickly, so that it connects soon
+// after a peer becomes reachable.
+func TestUrgentDialsAreFrequent(t *testing.T) {
 	is := is.New(t)
 	urgent := false
 	c := NewClient("127.0.0.1:1", NewMux(), &Meter{}, nil, time.Second)
 	c.SetUrgent(func() bool { return urgent })
-	pause, timeout := c.pace()
-	is.Equal(pause, redialAfter)
+	delay, timeout := c.dialTiming()
+	is.Equal(delay, redialDelay)
 	is.Equal(timeout, dialTimeout)
 	urgent = true
-	pause, timeout = c.pace()
-	is.True(pause+timeout <= (redialAfter+dialTimeout)/4)
+	delay, timeout = c.dialTiming()
+	is.True(delay+timeout <= (redialDelay+dialTimeout)/4)
 }
--- a/src/rpc/doc.go
+++ b/src/rpc/doc.go
@@ -1,4 +1,3 @@
-// Package rpc carries calls and notifications between moorspool's own
-// processes: JSON-RPC 2.0 over TCP, with reconnection, silence detection and a
-// meter of what it cost.
+// Package rpc provides calls and notifications between moorspool's processes: JSON-RPC 2.0
+// over TCP with automatic reconnection, detection of unresponsive peers and traffic counters.
 package rpc
--- a/src/rpc/meter.go
+++ b/src/rpc/meter.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Meter counts what a process spends on control; it is safe for concurrent use.
+// Meter counts the control traffic of a process. It is safe for concurrent use.
 type Meter struct {
 	bytesIn  atomic.Int64
 	bytesOut atomic.Int64
 	messages atomic.Int64
-	kinds    sync.Map // method -> *kindCounts
+	methods  sync.Map // method -> *methodCounters
 }
 
-// Kind is what a process has received and sent of one method since it started. Bytes
-// are those of the parameters.
-type Kind struct {
+// MethodCount holds the messages of one method received and sent since the process started. Byte counts
+// include only the parameters.
+type MethodCount struct {
 	Method      string
 	MessagesIn  int64
 	BytesIn     int64
@@ -26,40 +26,40 @@
 	BytesOut    int64
 }
 
-type kindCounts struct {
+type methodCounters struct {
 	messagesIn, bytesIn, messagesOut, bytesOut atomic.Int64
 }
 
-func (m *Meter) kind(method string) *kindCounts {
-	if known, found := m.kinds.Load(method); found {
-		return known.(*kindCounts)
+func (m *Meter) counters(method string) *methodCounters {
+	if known, found := m.methods.Load(method); found {
+		return known.(*methodCounters)
 	}
-	known, _ := m.kinds.LoadOrStore(method, &kindCounts{})
-	return known.(*kindCounts)
+	known, _ := m.methods.LoadOrStore(method, &methodCounters{})
+	return known.(*methodCounters)
 }
 
-// received counts a message that came.
+// received counts a received message.
 func (m *Meter) received(method string, bytes int) {
 	m.messages.Add(1)
-	k := m.kind(method)
+	k := m.counters(method)
 	k.messagesIn.Add(1)
 	k.bytesIn.Add(int64(bytes))
 }
 
-// sent counts a message that goes out.
+// sent counts a sent message.
 func (m *Meter) sent(method string, bytes int) {
 	m.messages.Add(1)
-	k := m.kind(method)
+	k := m.counters(method)
 	k.messagesOut.Add(1)
 	k.bytesOut.Add(int64(bytes))
 }
 
-// Kinds returns what was received and sent, by method.
-func (m *Meter) Kinds() []Kind {
-	var all []Kind
-	m.kinds.Range(func(method, counts any) bool {
-		k := counts.(*kindCounts)
-		all = append(all, Kind{
+// Kinds returns the counts of all methods, sorted by method.
+func (m *Meter) Kinds() []MethodCount {
+	var all []MethodCount
+	m.methods.Range(func(method, counts any) bool {
+		k := counts.(*methodCounters)
+		all = append(all, MethodCount{
 			Method:      method.(string),
 			MessagesIn:  k.messagesIn.Load(),
 			BytesIn:     k.bytesIn.Load(),
@@ -72,7 +72,7 @@
 	return all
 }
 
-// Count adds an exchange of the given bytes that went another way than rpc.
+// Count adds a request and response of the given sizes that were not sent through rpc.
 func (m *Meter) Count(in, out int) {
 	m.bytesIn.Add(int64(in))
 	m.bytesOut.Add(int64(out))
@@ -88,28 +88,28 @@
 // Messages returns the messages sent and received.
 func (m *Meter) Messages() int64 { return m.messages.Load() }
 
-// meteredConn counts bytes and bounds every write, so that a peer that stopped
-// reading can't hold a sender for long.
+// meteredConn counts bytes and sets a deadline for every write, so that a peer that stopped
+// reading cannot block a sender for long.
 type meteredConn struct {
 	net.Conn
 	meter *Meter
-	// readAt is when something was read last, as the steady time since started: the time of
-	// day may be set back, and a silent peer would be waited for all the longer.
+	// readAt is the time of the last read, as the monotonic time since processStart. If it used
+	// wall time, a clock set back would delay the detection of an unresponsive peer.
 	readAt atomic.Int64
 }
 
-// started is when the process started.
-var started = time.Now()
+// processStart is when the process started.
+var processStart = time.Now()
 
-// silentFor returns how long nothing was read.
+// silentFor returns the time since the last read.
 func (c *meteredConn) silentFor() time.Duration {
-	return time.Since(started) - time.Duration(c.readAt.Load())
+	return time.Since(processStart) - time.Duration(c.readAt.Load())
 }
 
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.bytesIn.Add(int64(n))
-	c.readAt.Store(int64(time.Since(started)))
+	c.readAt.Store(int64(time.Since(processStart)))
 	return n, err
 }
 
--- a/src/rpc/mux.go
+++ b/src/rpc/mux.go
@@ -8,28 +8,28 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Handler answers one call or takes in one notification.
+// Handler handles a call or a notification.
 type Handler func(ctx context.Context, peer *Peer, params json.RawMessage) (any, error)
 
-// Mux finds the handler of a method; it is filled before it serves.
+// Mux maps methods to handlers. All handlers must be registered before it is used.
 type Mux struct {
 	methods map[string]Handler
 }
 
-// NewMux returns a mux that knows only the ping.
+// NewMux returns a Mux that handles only pings.
 func NewMux() *Mux {
 	m := &Mux{methods: map[string]Handler{}}
 	m.Handle(methodPing, func(context.Context, *Peer, json.RawMessage) (any, error) { return struct{}{}, nil })
 	return m
 }
 
-// Handle registers a method.
+// Handle registers the handler of a method.
 func (m *Mux) Handle(method string, handler Handler) { m.methods[method] = handler }
 
 // Has reports whether a method is registered.
 func (m *Mux) Has(method string) bool { return m.methods[method] != nil }
 
-// Typed returns a handler that decodes its parameters into P.
+// Typed returns a handler that decodes its parameters as P.
 func Typed[P, R any](f func(ctx context.Context, peer *Peer, params P) (R, error)) Handler {
 	return func(ctx context.Context, peer *Peer, raw json.RawMessage) (any, error) {
 		var params P
@@ -42,7 +42,7 @@
 	}
 }
 
-// Dispatch runs a method's handler, as both the TCP server and the administration API do.
+// Dispatch runs a method's handler. Both the TCP server and the administration API use it.
 func (m *Mux) Dispatch(ctx context.Context, peer *Peer, method string, params json.RawMessage) (any, error) {
 	handler := m.methods[method]
 	if handler == nil {
@@ -51,19 +51,19 @@
 	return handler(ctx, peer, params)
 }
 
-// IsUnknownMethod reports whether an error says that the other side lacks the method.
+// IsUnknownMethod reports whether an error means that the peer does not know the method.
 func IsUnknownMethod(err error) bool {
 	var rpcErr *jsonrpc2.Error
 	return errors.As(err, &rpcErr) && rpcErr.Code == jsonrpc2.CodeMethodNotFound
 }
 
-// IsAnswer reports whether an error is the other side's answer rather than a failure to get one.
+// IsAnswer reports whether an error is a response from the peer rather than a failure to get one.
 func IsAnswer(err error) bool {
 	var rpcErr *jsonrpc2.Error
 	return errors.As(err, &rpcErr)
 }
 
-// handle runs notifications in order and calls beside each other.
+// handle runs notifications in order and calls concurrently.
 func (m *Mux) handle(ctx context.Context, peer *Peer, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	var params json.RawMessage
 	if req.Params != nil {
--- a/src/rpc/notification.go
+++ b/src/rpc/notification.go
@@ -10,21 +10,21 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Notification is an encoded message that wants no answer; it may be sent to many peers.
+// Notification is an encoded message without a response. It can be sent to many peers.
 //
-// The library encodes a message four times on its way out. Of a control node to which 120
-// gateways came back at once that took 59 % of the processor time (profile of three nodes
-// over 3 s), for bytes that are the same for all of them; now it is done once for all.
-// A message of 10 KB: 325 microseconds by the library, 3.3 encoded for one peer, 0.6 for each
-// of many (BenchmarkNotify, one machine beside other load).
+// The library encodes a message four times for each peer. When 120 gateways reconnected at once to one
+// control node, encoding the same message for each of them took 59 % of its processor time (profile of
+// three nodes over 3 s). A Notification is encoded once. Sending a message of 10 KB takes 325 microseconds
+// with the library, 3.3 if it is encoded for one peer, and 0.6 for each of many (BenchmarkNotify on one
+// machine under other load).
 type Notification struct {
 	method string
 	frame  []byte
-	// params is the part of the frame with the parameters.
+	// params is the part of frame that contains the parameters.
 	params json.RawMessage
 }
 
-// NewNotification encodes a notification; parameters that are JSON already stay as they are.
+// NewNotification encodes a notification. Parameters that are already JSON are not changed.
 func NewNotification(method string, params any) (Notification, error) {
 	raw, err := encode(params)
 	if err != nil {
@@ -41,17 +41,18 @@
 	frame = append(frame, head...)
 	frame = append(frame, name...)
 	frame = append(frame, middle...)
-	begin := len(frame)
+	paramsStart := len(frame)
 	frame = append(frame, raw...)
-	encoded := json.RawMessage(frame[begin:len(frame):len(frame)])
+	encoded := json.RawMessage(frame[paramsStart:len(frame):len(frame)])
 	frame = append(frame, tail...)
 	return Notification{method: method, frame: frame, params: encoded}, nil
 }
 
-// Params returns the encoded parameters, which must not be changed.
+// Params returns the encoded parameters. The caller must not modify them.
 func (n *Notification) Params() json.RawMessage { return n.params }
 
-// frameStream lets encoded notifications go out between the library's own messages.
+// frameStream is a JSON-RPC stream that can also send encoded notifications between messages of the
+// library.
 type frameStream struct {
 	jsonrpc2.ObjectStream
 	raw io.Writer
@@ -78,15 +79,15 @@
 	return err
 }
 
-// connection is JSON-RPC on one connection.
+// connection is a JSON-RPC connection.
 type connection struct {
 	*jsonrpc2.Conn
 	stream *frameStream
 	meter  *Meter
 }
 
-// notify sends an encoded notification. After a failure, which may have left a part of it
-// behind, the connection is of no more use.
+// notify sends an encoded notification. On a failure it closes the connection, since part of the message
+// may have been sent.
 func (c *connection) notify(n Notification) error {
 	if c.ended() {
 		return jsonrpc2.ErrClosed
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// ended reports whether the connection has ended.
+// ended reports whether the connection is closed.
 func (c *connection) ended() bool {
 	select {
 	case <-c.DisconnectNotify():
--- a/src/rpc/notification_test.go
+++ b/src/rpc/notification_test.go
@@ -12,32 +12,32 @@
 	"github.com/matryer/is"
 )
 
-// pair returns the two ends of a connection; what arrives at the second one is handled.
-func pair(t testing.TB, mux *Mux) *connection {
+// newConnection returns one end of a connection whose other end is served by mux.
+func newConnection(t testing.TB, mux *Mux) *connection {
 	t.Helper()
-	near, far := net.Pipe()
-	connect(&meteredConn{Conn: far, meter: &Meter{}}, mux)
-	c := connect(&meteredConn{Conn: near, meter: &Meter{}}, NewMux())
+	local, remote := net.Pipe()
+	connect(&meteredConn{Conn: remote, meter: &Meter{}}, mux)
+	c := connect(&meteredConn{Conn: local, meter: &Meter{}}, NewMux())
 	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-// TestNotificationsAndCallsShareAConnection whoever sends what at the same time: encoded
-// notifications go out beside the library's own messages, never within one.
-func TestNotificationsAndCallsShareAConnection(t *testing.T) {
+// TestConcurrentNotificationsAndCalls guards against encoded notifications being written into the
+// middle of a message of the library.
+func TestConcurrentNotificationsAndCalls(t *testing.T) {
 	is := is.New(t)
 	const each = 200
 	var mu sync.Mutex
-	told := map[string]bool{}
+	received := map[string]bool{}
 	mux := NewMux()
 	mux.Handle("tell", Typed(func(_ context.Context, _ *Peer, text string) (struct{}, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		told[text] = true
+		received[text] = true
 		return struct{}{}, nil
 	}))
 	mux.Handle("echo", Typed(func(_ context.Context, _ *Peer, text string) (string, error) { return text, nil }))
-	c := pair(t, mux)
+	c := newConnection(t, mux)
 	var work sync.WaitGroup
 	for worker := range 4 {
 		work.Add(2)
@@ -66,14 +66,14 @@
 	}
 	work.Wait()
 	var answer string
-	is.NoErr(c.Call(context.Background(), "echo", "last", &answer)) // behind all notifications
+	is.NoErr(c.Call(context.Background(), "echo", "last", &answer)) // handled after all notifications
 	mu.Lock()
 	defer mu.Unlock()
-	is.Equal(len(told), 4*each)
+	is.Equal(len(received), 4*each)
 }
 
-// TestANotificationKeepsItsParameters, encoded before or not.
-func TestANotificationKeepsItsParameters(t *testing.T) {
+// TestNotificationPreservesParameters covers parameters that are already encoded and those that are not.
+func TestNotificationPreservesParameters(t *testing.T) {
 	is := is.New(t)
 	n, err := NewNotification("m", map[string]int{"a": 1})
 	is.NoErr(err)
@@ -85,10 +85,10 @@
 	is.True(err != nil)
 }
 
-// TestAnEndedConnectionTellsSo instead of losing what is sent.
-func TestAnEndedConnectionTellsSo(t *testing.T) {
+// TestNotifyOnClosedConnectionFails guards against notifications that are lost without an error.
+func TestNotifyOnClosedConnectionFails(t *testing.T) {
 	is := is.New(t)
-	c := pair(t, NewMux())
+	c := newConnection(t, NewMux())
 	n, err := NewNotification("m", 1)
 	is.NoErr(err)
 	is.NoErr(c.Close())
@@ -96,13 +96,13 @@
 	is.True(c.notify(n) != nil)
 }
 
-// sink is a connection that takes everything and says nothing.
-type sink struct{ net.Conn }
+// discardConn is a connection that discards what is written and never returns data.
+type discardConn struct{ net.Conn }
 
-func (sink) Write(p []byte) (int, error) { return len(p), nil }
+func (discardConn) Write(p []byte) (int, error) { return len(p), nil }
 
-// BenchmarkNotify sends news of 10 KB, encoded already, to one peer after the other: only
-// what it costs the sender.
+// BenchmarkNotify measures the sender's cost of a notification of 10 KB with parameters that are already
+// JSON.
 func BenchmarkNotify(b *testing.B) {
 	raw, err := json.Marshal(map[string]string{"news": strings.Repeat("replica ", 1280)})
 	if err != nil {
@@ -131,7 +131,7 @@
 	for _, way := range ways {
 		b.Run(way.name, func(b *testing.B) {
 			silent, _ := net.Pipe()
-			c := connect(&meteredConn{Conn: sink{silent}, meter: &Meter{}}, NewMux())
+			c := connect(&meteredConn{Conn: discardConn{silent}, meter: &Meter{}}, NewMux())
 			b.ReportAllocs()
 			for range b.N {
 				if err := way.send(c); err != nil {
--- a/src/rpc/server.go
+++ b/src/rpc/server.go
@@ -12,22 +12,22 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// The transport's times.
+// Transport timeouts.
 const (
 	writeTimeout = 3 * time.Second
-	// dialTimeout is well below the second after which the kernel sends a lost opening
-	// packet again: a host that comes back is found by the next dial.
+	// dialTimeout is well below one second, after which the kernel repeats a lost SYN
+	// packet. This way the next dial reaches a host that is back up.
 	dialTimeout = 250 * time.Millisecond
 	methodPing  = "rpc.ping"
 )
 
-// Peer is the process at the other end of a connection; nil stands for a caller
-// over the administration API, which can't be notified.
+// Peer is the process at the other end of a connection. It is nil for a caller
+// of the administration API, which cannot be notified.
 type Peer struct {
 	conn *connection
 }
 
-// Notify sends a message that wants no answer.
+// Notify sends a message without a response.
 func (p *Peer) Notify(method string, params any) error {
 	n, err := NewNotification(method, params)
 	if err != nil {
@@ -39,7 +39,7 @@
 // Send sends an encoded notification.
 func (p *Peer) Send(n Notification) error { return p.conn.notify(n) }
 
-// encode returns parameters as JSON; what is JSON already stays as it is.
+// encode returns parameters as JSON. Parameters that are already JSON are not changed.
 func encode(params any) (json.RawMessage, error) {
 	if raw, done := params.(json.RawMessage); done {
 		return raw, nil
@@ -47,10 +47,10 @@
 	return json.Marshal(params)
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection ends.
 func (p *Peer) Done() <-chan struct{} { return p.conn.DisconnectNotify() }
 
-// Server accepts connections and runs a mux's handlers.
+// Server accepts connections and serves the handlers of a Mux.
 type Server struct {
 	mux   *Mux
 	meter *Meter
@@ -59,7 +59,7 @@
 	conns map[*connection]struct{}
 }
 
-// Listen starts to serve the mux at an address; it fails if the address can't be had.
+// Listen starts a server at an address. It fails if the address is not available.
 func Listen(address string, mux *Mux, meter *Meter) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// Address returns the address that the server listens at.
+// Address returns the address the server listens on.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
 func (s *Server) accept() {
@@ -96,7 +96,7 @@
 	}()
 }
 
-// Close ends the listener and every connection.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	_ = s.ln.Close()
 	s.mu.Lock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// connect starts JSON-RPC on a connection.
+// connect starts JSON-RPC on a network connection.
 func connect(raw *meteredConn, mux *Mux) *connection {
 	stream := newFrameStream(raw)
 	peer := &Peer{}
@@ -116,7 +116,7 @@
 		raw.meter.received(req.Method, paramBytes(req))
 		mux.handle(ctx, peer, conn, req)
 	})
-	conn := jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(quietLogger))
+	conn := jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(discardLogger))
 	peer.conn = &connection{Conn: conn, stream: stream, meter: raw.meter}
 	close(ready)
 	return peer.conn
@@ -129,8 +129,8 @@
 	return len(*req.Params)
 }
 
-// quietLogger drops the library's lines on connections that ended: peers come and go.
-var quietLogger = log.New(io.Discard, "", 0)
+// discardLogger drops the library's log lines about closed connections, which are expected.
+var discardLogger = log.New(io.Discard, "", 0)
 
 type handlerFunc func(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request)
 
--- a/src/wakeup/doc.go
+++ b/src/wakeup/doc.go
@@ -1,3 +1,3 @@
-// Package wakeup has a flag that wakes a goroutine which waits for news. Raised many
-// times before it is noticed, it wakes once.
+// Package wakeup provides a flag that wakes a waiting goroutine. Raising it several times before it is
+// received wakes the goroutine once.
 package wakeup
--- a/src/wakeup/flag.go
+++ b/src/wakeup/flag.go
@@ -1,6 +1,6 @@
 package wakeup
 
-// Flag wakes one goroutine; it is safe for concurrent use.
+// Flag wakes one goroutine. It is safe for concurrent use.
 type Flag struct {
 	raised chan struct{}
 }
@@ -8,7 +8,7 @@
 // New returns a flag that is not raised.
 func New() Flag { return Flag{raised: make(chan struct{}, 1)} }
 
-// Raise raises the flag; it never blocks.
+// Raise raises the flag. It never blocks.
 func (f Flag) Raise() {
 	select {
 	case f.raised <- struct{}{}:
@@ -16,5 +16,5 @@
 	}
 }
 
-// Raised delivers once the flag is raised, and lowers it.
+// Raised returns a channel that receives once the flag is raised. Receiving from it lowers the flag.
 func (f Flag) Raised() <-chan struct{} { return f.raised }
--- a/src/wakeup/flag_test.go
+++ b/src/wakeup/flag_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestAFlagWakesOnceHoweverOftenItWasRaised(t *testing.T) {
+func TestFlagRaisedTwiceWakesOnce(t *testing.T) {
 	is := is.New(t)
 	f := New()
 	is.True(!raised(f))
