--- a/src/raft/durable_test.go
+++ b/src/raft/durable_test.go
@@ -23,7 +23,8 @@
 	return nil, Ready{}, now
 }
 
-// TestVotesAreAskedForOnceTheOwnOneIsDurable also checks that no received vote is counted before.
+// TestVotesAreAskedForOnceTheOwnOneIsDurable: a candidate must not send vote requests or count votes before
+// its own vote is durable.
 func TestVotesAreAskedForOnceTheOwnOneIsDurable(t *testing.T) {
 	is := is.New(t)
 	c, write, now := newCandidate(t)
@@ -117,8 +118,8 @@
 	is.Equal(len(s.pending), 0)
 }
 
-// TestEntriesReplacedDuringTheirWriteAreWrittenAgain: when the write completes, the disk holds the replaced
-// entries at the same indexes.
+// TestEntriesReplacedDuringTheirWriteAreWrittenAgain: the end of a write must not mark entries as durable that
+// replaced the written ones during the write.
 func TestEntriesReplacedDuringTheirWriteAreWrittenAgain(t *testing.T) {
 	is := is.New(t)
 	c := restartedCore(3, 3)
--- a/src/raft/election.go
+++ b/src/raft/election.go
@@ -9,7 +9,7 @@
 		return
 	}
 	if now.Before(c.electionAt) || c.writes.inFlight || !c.hardStateDurable() {
-		// A vote of this node would have to wait for the write that is in flight or outstanding.
+		// This node's vote could not become durable soon, since an earlier write has not completed.
 		return
 	}
 	if !c.Members().IsVoter(c.id) {
