--- a/src/control/apply.go
+++ b/src/control/apply.go
@@ -12,30 +12,30 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// maxRaces bounds how often a change is checked again because another entry
-// moved the configuration meanwhile.
-const maxRaces = 8
+// maxApplyAttempts limits how often a change is validated again after a concurrent entry changed
+// the configuration.
+const maxApplyAttempts = 8
 
 func (s *Service) apply(ctx context.Context, _ *rpc.Peer, request wire.ApplyRequest) (wire.ApplyReply, error) {
 	if request.Change.ID == "" {
 		return wire.ApplyReply{Outcome: wire.Refused, Reason: "the change has no id"}, nil
 	}
-	lead := s.leading()
+	lead := s.leadership()
 	if lead.self {
-		return s.applyHere(ctx, request), nil
+		return s.applyAsLeader(ctx, request), nil
 	}
 	reply := wire.ApplyReply{Outcome: wire.Unavailable, Reason: "no leader among the control nodes is in reach"}
-	reached, err := s.toLeader(ctx, lead.leader, wire.MethodApply, request, &reply)
+	reached, err := s.callLeader(ctx, lead.leader, wire.MethodApply, request, &reply)
 	if reached && err != nil {
 		return wire.ApplyReply{Outcome: wire.Unknown, Reason: "the leader's answer was lost; send the change again with the same id"}, nil
 	}
 	return reply, nil
 }
 
-func (s *Service) applyHere(ctx context.Context, request wire.ApplyRequest) wire.ApplyReply {
-	s.changes.Lock()
-	defer s.changes.Unlock()
-	for i := 0; i < maxRaces; i++ {
+func (s *Service) applyAsLeader(ctx context.Context, request wire.ApplyRequest) wire.ApplyReply {
+	s.applyMu.Lock()
+	defer s.applyMu.Unlock()
+	for i := 0; i < maxApplyAttempts; i++ {
 		prepared, reply := s.prepare(request.Change)
 		if request.DryRun {
 			return reply
@@ -51,36 +51,36 @@
 			continue
 		}
 		reply = wire.ApplyReply{Outcome: applied.outcome, Revision: applied.revision, Conflicts: applied.conflicts, Reason: applied.reason}
-		s.noteChange(request.Change, reply)
+		s.logChange(request.Change, reply)
 		return reply
 	}
 	return wire.ApplyReply{Outcome: wire.Unavailable, Reason: "other changes kept coming between; try again"}
 }
 
-// settled makes sure of a change that was accepted before: its first answer may have been
-// lost before it was certain.
+// settled waits until a previously accepted change is settled. Its first reply may have been lost
+// before that.
 func (s *Service) settled(ctx context.Context, reply wire.ApplyReply) wire.ApplyReply {
 	if reply.Outcome != wire.Accepted {
 		return reply
 	}
-	certain := s.node.settle(ctx, result{outcome: wire.Accepted}, func(settled uint64) bool {
+	confirmed := s.node.settle(ctx, result{outcome: wire.Accepted}, func(settled uint64) bool {
 		return reply.Revision.Index <= settled
 	})
-	if certain.outcome != wire.Accepted {
-		return wire.ApplyReply{Outcome: wire.Unknown, Reason: certain.reason}
+	if confirmed.outcome != wire.Accepted {
+		return wire.ApplyReply{Outcome: wire.Unknown, Reason: confirmed.reason}
 	}
 	return reply
 }
 
-// prepare checks a change against the configuration in force. It returns no
-// command if the answer is already clear.
+// prepare validates a change against the current configuration. It returns a nil command if the
+// reply is already final.
 func (s *Service) prepare(change config.Change) (*changeCommand, wire.ApplyReply) {
 	var set *config.Set
 	var reply *wire.ApplyReply
 	alive := s.node.Do(func(time.Time) {
 		state := s.node.replica.state
 		set = state.Set()
-		if revision, again := state.Answered(change.ID); again {
+		if revision, again := state.AcceptedRevision(change.ID); again {
 			reply = &wire.ApplyReply{Outcome: wire.Accepted, Revision: revision}
 		} else if conflicts := state.Conflicts(change); len(conflicts) > 0 {
 			reply = &wire.ApplyReply{Outcome: wire.Conflicted, Conflicts: conflicts}
@@ -90,7 +90,7 @@
 		return nil, wire.ApplyReply{Outcome: wire.Unavailable, Reason: "the control node is stopping"}
 	}
 	if reply != nil {
-		s.noteChange(change, *reply)
+		s.logChange(change, *reply)
 		return nil, *reply
 	}
 	next := set.With(change.Put, change.Delete)
@@ -100,7 +100,7 @@
 	}
 	if len(findings) > 0 {
 		refused := wire.ApplyReply{Outcome: wire.Refused, Findings: findings, Reason: strconv.Itoa(len(findings)) + " findings"}
-		s.noteChange(change, refused)
+		s.logChange(change, refused)
 		return nil, refused
 	}
 	assign, unassign := place.Assign(next)
@@ -108,7 +108,8 @@
 	return prepared, wire.ApplyReply{Outcome: wire.Accepted, Revision: set.Revision()}
 }
 
-// checkWritable refuses objects that only the system itself writes, or that lack their content.
+// checkWritable reports objects that only the system may write and objects without the content
+// required by their kind.
 func checkWritable(change config.Change) config.Findings {
 	var findings config.Findings
 	for _, key := range change.Keys() {
@@ -124,7 +125,7 @@
 	return findings
 }
 
-func (s *Service) noteChange(change config.Change, reply wire.ApplyReply) {
+func (s *Service) logChange(change config.Change, reply wire.ApplyReply) {
 	kind := event.ConfigAccepted
 	switch reply.Outcome {
 	case wire.Refused:
--- a/src/control/claim.go
+++ b/src/control/claim.go
@@ -7,17 +7,18 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// digest stands for a key or token, so that a claim takes the same little
-// memory whatever clients use as keys.
+// digest is a truncated hash of a key or token. It bounds the memory of a claim regardless of the
+// length of client keys.
 type digest [16]byte
 
-func digestOf(word string) digest {
-	sum := sha256.Sum256([]byte(word))
+func digestOf(text string) digest {
+	sum := sha256.Sum256([]byte(text))
 	var d digest
 	copy(d[:], sum[:])
 	return d
 }
 
+// claimPhase is the progress of a claimed attempt.
 type claimPhase uint8
 
 const (
@@ -26,28 +27,28 @@
 	phaseUnknown
 )
 
-// claim is what is remembered of one key.
+// claim is the recorded state of one key.
 type claim struct {
 	Token  digest     `cbor:"1,keyasint"`
 	Holder uint32     `cbor:"2,keyasint"`
 	Phase  claimPhase `cbor:"3,keyasint"`
-	// Expires is in seconds since 1970, by the leaders' clocks.
+	// Expires is in Unix seconds, based on the leaders' clocks.
 	Expires int64 `cbor:"4,keyasint"`
 }
 
-// claims remembers which keys were claimed, until they expire.
+// claims holds the claimed keys until they expire.
 type claims struct {
 	Keys    map[digest]claim  `cbor:"1,keyasint"`
 	Holders []string          `cbor:"2,keyasint"`
 	byName  map[string]uint32 `cbor:"-"`
-	// Swept is the minute up to which expired claims were dropped.
+	// Swept is the minute of the last removal of expired claims.
 	Swept int64 `cbor:"3,keyasint"`
 }
 
-// sweepEvery is how often expired claims are looked for.
-const sweepEvery = time.Minute
+// sweepInterval is the minimum interval between removals of expired claims.
+const sweepInterval = time.Minute
 
-// defaultClaimExpiry applies where no service gives one.
+// defaultClaimExpiry applies to claims without an expiry of their own.
 const defaultClaimExpiry = 24 * time.Hour
 
 func newClaims() *claims {
@@ -64,6 +65,7 @@
 	}
 }
 
+// holder returns the number that stands for a holder's name.
 func (c *claims) holder(name string) uint32 {
 	if number, found := c.byName[name]; found {
 		return number
@@ -87,8 +89,8 @@
 	return result{outcome: wire.Accepted, claim: wire.ClaimYours}
 }
 
-// answer tells an asker what became of the claim; the attempt that holds it is
-// told so again, because its first answer may have been lost.
+// answer returns the claim's state as seen by the given token. The attempt that holds the claim is
+// told so again, because its first reply may have been lost.
 func (c claim) answer(token digest) wire.ClaimState {
 	switch {
 	case c.Phase == phaseDone:
@@ -108,7 +110,7 @@
 		return result{outcome: wire.Refused, reason: "the key is not claimed by this attempt"}
 	}
 	if known.Phase != phaseRunning {
-		// Settled before: what was settled first stands.
+		// Already settled: the first outcome is kept.
 		return result{outcome: wire.Accepted}
 	}
 	if cmd.Released {
@@ -123,9 +125,9 @@
 	return result{outcome: wire.Accepted}
 }
 
-// sweep drops expired claims, at most once a minute of log time.
+// sweep removes expired claims, at most once per sweepInterval of log time.
 func (c *claims) sweep(at time.Time) {
-	minute := at.Unix() / int64(sweepEvery/time.Second)
+	minute := at.Unix() / int64(sweepInterval/time.Second)
 	if minute <= c.Swept {
 		return
 	}
--- a/src/control/cluster.go
+++ b/src/control/cluster.go
@@ -14,48 +14,49 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The cluster's times.
+// The timing of a cluster node.
 const (
-	// tendMembersEvery is how often the membership is looked after.
-	tendMembersEvery = 200 * time.Millisecond
-	// leaderWait is how long a request waits for a leader to be found.
+	// membershipInterval is how often the membership is checked.
+	membershipInterval = 200 * time.Millisecond
+	// leaderWait is how long a request waits until a leader is known.
 	leaderWait = 600 * time.Millisecond
-	// leaderPoll is how often it looks.
-	leaderPoll = 20 * time.Millisecond
-	// forwardTimeout bounds a request that is passed on to the leader: callers
-	// turn to another node after a second.
+	// leaderPollInterval is how often a waiting request checks for a leader.
+	leaderPollInterval = 20 * time.Millisecond
+	// forwardTimeout bounds a request that is forwarded to the leader. Callers switch to another
+	// node after a second.
 	forwardTimeout = 850 * time.Millisecond
-	// changeTimeout bounds a change of the configuration instead: a caller that waits longer gets
-	// its answer as soon as slow disks have it. A leader without a majority answers in its
-	// lease's time, one that is gone is found out by its link.
+	// changeTimeout bounds a configuration change, which waits longer so that its caller gets a
+	// reply as soon as slow disks have stored it. A leader without a majority replies when its
+	// lease ends; a leader that is gone is detected by its connection.
 	changeTimeout = 10 * time.Second
-	// voterSilence is after how long without contact a caught-up learner takes a voter's place.
-	voterSilence = 2500 * time.Millisecond
-	// learnerSilence is after how long without contact a learner is forgotten: machines
-	// that are replaced at other addresses must not add up. One that comes back asks to be
-	// let in again, so it may be short; a minute is longer than restarts and cuts last.
-	learnerSilence = time.Minute
-	// voterContact is how lately the other voters must have followed for that.
-	voterContact = time.Second
-	// lonely is how long a node waits without a leader before it asks whether it is a member.
-	lonely = 1200 * time.Millisecond
+	// voterReplaceAfter is how long a voter must be out of contact before a caught-up learner
+	// replaces it.
+	voterReplaceAfter = 2500 * time.Millisecond
+	// learnerRemoveAfter is how long a learner must be out of contact before it is removed, so that
+	// hosts replaced at new addresses do not accumulate. It may be short, because a learner that
+	// comes back asks to join again; a minute outlasts restarts and network partitions.
+	learnerRemoveAfter = time.Minute
+	// contactTimeout is how recently a member must have responded to count as in contact.
+	contactTimeout = time.Second
+	// rejoinAfter is how long a node goes without a leader before it asks to join again, in case it
+	// has been removed from the membership.
+	rejoinAfter = 1200 * time.Millisecond
 )
 
-// ClusterOptions say how a node takes part.
+// ClusterOptions configures a Cluster.
 type ClusterOptions struct {
-	// ID is the identity of the node's data folder; its name is the node's address.
+	// ID is the identity of the node's data folder. The name in it is the node's address.
 	ID raft.ID
-	// Voters is the wanted number of voters.
+	// Voters is the target number of voters.
 	Voters int
-	// Seeds are addresses at which other control nodes may be found.
+	// Seeds are initial addresses at which other control nodes may be found.
 	Seeds []string
-	// ResendZoneOrders is for how long an operator sends an order about a zone again that got
-	// no answer.
+	// ResendZoneOrders is how long an operator keeps resending a zone order that gets no reply.
 	ResendZoneOrders time.Duration
 }
 
-// Cluster is a control node whose peers are named by their addresses, found
-// from seeds and replaced without an operator. It is safe for concurrent use.
+// Cluster is a control node whose peers are identified by their addresses. It discovers them from
+// seeds and replaces failed ones without an operator. It is safe for concurrent use.
 type Cluster struct {
 	node    *Node
 	links   *Links
@@ -64,69 +65,70 @@
 	now     func() time.Time
 
 	mu sync.Mutex
-	// leaderAt is when this node last knew a leader.
-	leaderAt time.Time
-	// met are the addresses of control nodes that were ever heard of.
-	met map[string]bool
-	// quorum is what was logged of it last.
-	quorum Quorum
-	// joined and joinReason are what was logged last of asking to be let in, and when.
-	joined       bool
+	// leaderKnownAt is when this node last knew a leader.
+	leaderKnownAt time.Time
+	// knownAddresses are the addresses of all control nodes this node has ever learned of.
+	knownAddresses map[string]bool
+	// loggedQuorum is the most recently logged quorum.
+	loggedQuorum Quorum
+	// joinAccepted and joinReason are the last logged outcome of a join request; joinLoggedAt is
+	// when it was logged.
+	joinAccepted bool
 	joinReason   string
 	joinLoggedAt time.Time
 }
 
-// NewCluster returns the cluster side of a node.
+// NewCluster returns the cluster of a node.
 func NewCluster(node *Node, links *Links, options ClusterOptions, ring *event.Ring, now func() time.Time) *Cluster {
-	c := &Cluster{node: node, links: links, options: options, ring: ring, now: now, leaderAt: now(), met: map[string]bool{}}
+	c := &Cluster{node: node, links: links, options: options, ring: ring, now: now, leaderKnownAt: now(), knownAddresses: map[string]bool{}}
 	for _, seed := range options.Seeds {
-		c.met[seed] = true
+		c.knownAddresses[seed] = true
 	}
 	return c
 }
 
-// Register adds the cluster's methods to a mux.
+// Register adds the cluster's RPC methods to a mux.
 func (c *Cluster) Register(mux *rpc.Mux) {
 	mux.Handle(wire.MethodStep, rpc.Typed(c.step))
 	mux.Handle(wire.MethodPutDocument, rpc.Typed(c.putDocument))
 	mux.Handle(wire.MethodReadDocument, rpc.Typed(c.readDocument))
 	mux.Handle(wire.MethodMembers, rpc.Typed(c.changeMembers))
-	mux.Handle(wire.MethodZoneTicket, rpc.Typed(c.giveTicket))
-	mux.Handle(wire.MethodZoneOrder, rpc.Typed(c.takeZoneOrder))
+	mux.Handle(wire.MethodZoneTicket, rpc.Typed(c.zoneTicket))
+	mux.Handle(wire.MethodZoneOrder, rpc.Typed(c.zoneOrder))
 }
 
 // Address returns the node's own address.
 func (c *Cluster) Address() string { return nameOf(c.options.ID) }
 
-// Leadership tells who leads, as this node sees it.
+// Leadership describes the current leader as seen by this node.
 type Leadership struct {
 	// Self is set while this node leads with a valid lease.
 	Self bool
-	// Address is the leader's, "" if none is known.
+	// Address is the leader's address, "" if no leader is known.
 	Address string
 	Term    uint64
 	// Since is when this node was elected, zero while it does not lead.
 	Since time.Time
-	// Version is the newest accepted document's while Self is set, Extensions are the
-	// recorded extensions of client accounts; they must not be changed.
+	// Version is the version of the newest accepted document while Self is set. Extensions are the
+	// recorded extensions of client accounts; they must not be modified.
 	Version    uint64
 	Extensions map[string]float64
 }
 
-// Leadership returns who leads now.
+// Leadership returns the current leader as seen by this node.
 func (c *Cluster) Leadership() Leadership {
-	known := c.node.known()
+	currentView := c.node.currentView()
 	return Leadership{
-		Self:       known.sure(c.now()),
-		Address:    nameOf(known.leader),
-		Term:       known.term,
-		Since:      known.ledSince,
-		Version:    known.document.Version,
-		Extensions: known.extensions,
+		Self:       currentView.hasReadLease(c.now()),
+		Address:    nameOf(currentView.leader),
+		Term:       currentView.term,
+		Since:      currentView.ledSince,
+		Version:    currentView.document.Version,
+		Extensions: currentView.extensions,
 	}
 }
 
-// Members returns the addresses of all control nodes that this one knows of.
+// Members returns the addresses of all members that this node knows.
 func (c *Cluster) Members() []string {
 	addresses := map[string]bool{}
 	for _, id := range c.members().All() {
@@ -140,9 +142,10 @@
 	return list
 }
 
-func (c *Cluster) members() raft.Members { return c.node.known().members }
+func (c *Cluster) members() raft.Members { return c.node.currentView().members }
 
-// Peers returns the addresses of the other members, or the seeds while there is none.
+// Peers returns the addresses of the other members. If it knows no other member, it returns all
+// other addresses that the node has learned of, which include the seeds.
 func (c *Cluster) Peers() []string {
 	var peers []string
 	for _, address := range c.Members() {
@@ -151,53 +154,53 @@
 		}
 	}
 	if len(peers) == 0 {
-		return c.others()
+		return c.otherAddresses()
 	}
 	return peers
 }
 
-// Majority returns how many other members make a majority together with this node; known
-// is false while this node knows no members, as after the loss of its disk.
+// Majority returns how many other members form a majority together with this node. known is false
+// while this node knows no members, for example after it has lost its disk.
 func (c *Cluster) Majority() (others int, known bool) {
 	voters := len(c.members().Voters)
 	return voters / 2, voters > 0
 }
 
-// Changed returns a channel that is closed when the document in force changes.
+// Changed returns a channel that is closed when the configuration or the drained zones next change.
 func (c *Cluster) Changed() <-chan struct{} { return c.node.Changed() }
 
-// Document returns the document that this node has applied, which may be older
-// than the newest accepted one.
-func (c *Cluster) Document() wire.Document { return c.node.known().held() }
+// Document returns the document that this node has applied, which may be older than the newest
+// accepted one.
+func (c *Cluster) Document() wire.Document { return c.node.currentView().appliedDocument() }
 
 // Version returns the version of the applied document.
-func (c *Cluster) Version() uint64 { return c.node.known().document.Version }
+func (c *Cluster) Version() uint64 { return c.node.currentView().document.Version }
 
-// Confirmed returns when the applied document was last known to be the newest accepted one,
-// the zero time if it never was since this node began.
-func (c *Cluster) Confirmed(now time.Time) time.Time { return c.node.known().confirmed(now) }
+// Confirmed returns when the applied document was last known to be the newest accepted one. It is
+// the zero time if that has not happened since this node started.
+func (c *Cluster) Confirmed(now time.Time) time.Time { return c.node.currentView().confirmed(now) }
 
 func (c *Cluster) step(_ context.Context, _ *rpc.Peer, m raft.Message) (wire.Empty, error) {
 	if m.To == c.options.ID {
 		c.node.Deliver(m)
 		return wire.Empty{}, nil
 	}
-	// A message for an earlier folder at this address says only who sent it.
+	// A message for an earlier identity at this address only reveals its sender.
 	c.Meet(nameOf(m.From))
 	return wire.Empty{}, nil
 }
 
-// Put puts a document in force if its version is the highest; it returns once
-// that is durable on a majority, or with an outcome that promises nothing.
+// Put replaces the document if the new version is higher. It returns Accepted once that is durable
+// on a majority; any other outcome guarantees nothing.
 func (c *Cluster) Put(ctx context.Context, request wire.DocumentRequest) wire.DocumentReply {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	lead := c.awaitLeader(ctx)
 	if lead.Self {
-		return c.putHere(ctx, request)
+		return c.putAsLeader(ctx, request)
 	}
 	var reply wire.DocumentReply
-	switch err := c.passOn(ctx, lead, wire.MethodPutDocument, request, &reply); {
+	switch err := c.forwardToLeader(ctx, lead, wire.MethodPutDocument, request, &reply); {
 	case errors.Is(err, errNoLeader):
 		return wire.DocumentReply{Outcome: wire.Unavailable, Reason: err.Error()}
 	case err != nil:
@@ -212,10 +215,10 @@
 	if !c.Leadership().Self {
 		return wire.DocumentReply{Outcome: wire.Unavailable, Reason: "this node does not lead"}, nil
 	}
-	return c.putHere(ctx, request), nil
+	return c.putAsLeader(ctx, request), nil
 }
 
-func (c *Cluster) putHere(ctx context.Context, request wire.DocumentRequest) wire.DocumentReply {
+func (c *Cluster) putAsLeader(ctx context.Context, request wire.DocumentRequest) wire.DocumentReply {
 	applied, err := c.putSettled(ctx, request)
 	if err != nil {
 		return wire.DocumentReply{Outcome: wire.Unavailable, Reason: err.Error()}
@@ -223,12 +226,12 @@
 	return wire.DocumentReply{Outcome: applied.outcome, Version: applied.version, Reason: applied.reason}
 }
 
-// putSettled puts a document in force, or makes sure of one that is in force already: an
-// earlier answer may have been lost before it was certain.
+// putSettled replaces the document and waits until that is settled. If the version is already in
+// force it only waits, because an earlier reply may have been lost before it was settled.
 func (c *Cluster) putSettled(ctx context.Context, request wire.DocumentRequest) (result, error) {
-	if held := c.readHere(); held.Known && held.Version >= request.Version {
-		return c.node.settle(ctx, result{outcome: wire.Accepted, version: held.Version}, func(settled uint64) bool {
-			return c.node.replica.changes.versionSettled(request.Version, settled)
+	if current := c.readAsLeader(); current.Known && current.Version >= request.Version {
+		return c.node.settle(ctx, result{outcome: wire.Accepted, version: current.Version}, func(settled uint64) bool {
+			return c.node.replica.changeIndex.versionSettled(request.Version, settled)
 		}), nil
 	}
 	document := &documentCommand{Version: request.Version, Packed: request.Packed}
@@ -236,38 +239,38 @@
 	return c.node.proposeSettled(ctx, command{At: c.now(), Document: document}, key)
 }
 
-// Read returns the newest accepted document; Known is false if this node and
-// the leader can't be sure of it.
+// Read returns the newest accepted document. Known is false if neither this node nor the leader can
+// guarantee that it is the newest.
 func (c *Cluster) Read(ctx context.Context) wire.Document {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	lead := c.awaitLeader(ctx)
 	if lead.Self {
-		return c.readHere()
+		return c.readAsLeader()
 	}
 	var reply wire.Document
-	if err := c.passOn(ctx, lead, wire.MethodReadDocument, wire.Empty{}, &reply); err != nil {
-		// The caller is told that this node is not sure, and asks another one.
+	if err := c.forwardToLeader(ctx, lead, wire.MethodReadDocument, wire.Empty{}, &reply); err != nil {
+		// The caller sees that the document is not known and asks another node.
 		return wire.Document{}
 	}
 	return reply
 }
 
 func (c *Cluster) readDocument(context.Context, *rpc.Peer, wire.Empty) (wire.Document, error) {
-	return c.readHere(), nil
+	return c.readAsLeader(), nil
 }
 
-// readHere returns the document if this node leads and is sure of it.
-func (c *Cluster) readHere() wire.Document {
-	known := c.node.known()
-	if !known.sure(c.now()) {
+// readAsLeader returns the document if this node leads and holds a read lease.
+func (c *Cluster) readAsLeader() wire.Document {
+	currentView := c.node.currentView()
+	if !currentView.hasReadLease(c.now()) {
 		return wire.Document{}
 	}
-	return known.held()
+	return currentView.appliedDocument()
 }
 
-// RecordExtension records how much a client account may use at once beyond its rate, in
-// units, 0 for nothing; it returns once that is durable on a majority.
+// RecordExtension records the units that a client account may use at once beyond its rate, 0 for
+// none. It returns once that is durable on a majority.
 func (c *Cluster) RecordExtension(ctx context.Context, account string, units float64) error {
 	applied, err := c.node.propose(ctx, command{At: c.now(), Extension: &extensionCommand{Account: account, Units: units}})
 	if err != nil {
@@ -279,23 +282,23 @@
 	return nil
 }
 
-// errNoLeader means that this node knows no other node that leads.
+// errNoLeader means that this node knows of no other node that leads.
 var errNoLeader = errors.New("no other control node is known to lead")
 
-// CallLeader calls the node that leads, if this one knows it, without waiting for one.
+// CallLeader calls the leader if this node knows one; it does not wait for one.
 func (c *Cluster) CallLeader(ctx context.Context, method string, params, result any) error {
-	return c.passOn(ctx, c.Leadership(), method, params, result)
+	return c.forwardToLeader(ctx, c.Leadership(), method, params, result)
 }
 
-// passOn calls another node that leads.
-func (c *Cluster) passOn(ctx context.Context, lead Leadership, method string, params, result any) error {
+// forwardToLeader calls the leader, which must be another node.
+func (c *Cluster) forwardToLeader(ctx context.Context, lead Leadership, method string, params, result any) error {
 	if lead.Address == "" || lead.Address == c.Address() {
 		return errNoLeader
 	}
 	return c.links.Client(lead.Address).Call(ctx, method, params, result)
 }
 
-// awaitLeader waits a while for a leader to be known.
+// awaitLeader waits up to leaderWait for a leader to be known.
 func (c *Cluster) awaitLeader(ctx context.Context) Leadership {
 	ctx, cancel := context.WithTimeout(ctx, leaderWait)
 	defer cancel()
@@ -307,12 +310,12 @@
 		select {
 		case <-ctx.Done():
 			return lead
-		case <-time.After(leaderPoll):
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
 
-// HandOver gives leadership to another node before a planned stop.
+// HandOver transfers leadership to another node before a planned stop.
 func (c *Cluster) HandOver() {
 	c.node.Do(func(now time.Time) { c.node.replica.core.Transfer(now) })
 }
--- a/src/control/cluster_test.go
+++ b/src/control/cluster_test.go
@@ -16,7 +16,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// clusterNode is a cluster's node in this process with a real folder and real connections.
+// clusterNode is a cluster node that runs in the test process with a real data folder and real
+// connections.
 type clusterNode struct {
 	address string
 	folder  string
@@ -27,11 +28,11 @@
 	cut     *fault.Cut
 	stop    context.CancelFunc
 	ended   chan struct{}
-	// committed is up to where its disk knew the log to be committed as it was started.
+	// committed is the last index that the disk knew to be committed when the node was started.
 	committed uint64
 }
 
-// testCluster starts founders at loopback addresses of their own.
+// testCluster is a cluster whose founders listen on loopback addresses.
 type testCluster struct {
 	t     *testing.T
 	seeds []string
@@ -40,16 +41,16 @@
 
 func newTestCluster(t *testing.T, founders int) *testCluster {
 	tc := &testCluster{t: t, nodes: map[string]*clusterNode{}}
-	var held []*rpc.Server
+	var reserved []*rpc.Server
 	for i := 0; i < founders; i++ {
 		server, err := rpc.Listen("127.0.0.1:0", rpc.NewMux(), &rpc.Meter{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, server)
+		reserved = append(reserved, server)
 		tc.seeds = append(tc.seeds, server.Address())
 	}
-	for _, server := range held {
+	for _, server := range reserved {
 		server.Close()
 	}
 	for _, seed := range tc.seeds {
@@ -63,7 +64,7 @@
 	return tc
 }
 
-// start starts a node at an address on a folder.
+// start starts a node at an address with a data folder.
 func (tc *testCluster) start(address, folder string, found bool) *clusterNode {
 	tc.t.Helper()
 	var founders []raft.ID
@@ -108,7 +109,7 @@
 	_ = n.disk.Close()
 }
 
-// put sends a document to a node again and again until it is accepted.
+// put sends a document to a node until it is accepted.
 func (tc *testCluster) put(n *clusterNode, version uint64, raw string) {
 	tc.t.Helper()
 	tc.eventually(fmt.Sprintf("version %d is accepted", version), func() bool {
@@ -117,7 +118,7 @@
 	})
 }
 
-// eventually waits for a condition, far longer than it takes.
+// eventually waits for a condition, for much longer than it should take.
 func (tc *testCluster) eventually(what string, met func() bool) {
 	tc.t.Helper()
 	for i := 0; i < 600; i++ {
@@ -126,10 +127,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	tc.t.Fatalf("it never came about that %s", what)
+	tc.t.Fatalf("timed out waiting: %s", what)
 }
 
-func (tc *testCluster) readsBack(n *clusterNode, version uint64, raw string) {
+// waitForRead waits until a node reads the given version, and fails if it reads an older one.
+func (tc *testCluster) waitForRead(n *clusterNode, version uint64, raw string) {
 	tc.t.Helper()
 	tc.eventually(fmt.Sprintf("%s reads version %d", n.address, version), func() bool {
 		held := n.cluster.Read(context.Background())
@@ -148,7 +150,7 @@
 	return list
 }
 
-func TestHighestVersionHoldsAndLowerOnesAreAcknowledged(t *testing.T) {
+func TestHighestVersionWinsAndLowerOnesAreAcknowledged(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	first := tc.nodes[tc.seeds[0]]
@@ -156,10 +158,10 @@
 	for _, seed := range tc.seeds {
 		tc.put(tc.nodes[seed], 3, "three")
 		tc.put(tc.nodes[seed], 7, "another seven")
-		tc.readsBack(tc.nodes[seed], 7, "seven")
+		tc.waitForRead(tc.nodes[seed], 7, "seven")
 	}
 	tc.put(tc.nodes[tc.seeds[2]], 9, "nine")
-	tc.readsBack(first, 9, "nine")
+	tc.waitForRead(first, 9, "nine")
 	is.Equal(len(tc.voters(first)), 3)
 }
 
@@ -174,12 +176,12 @@
 	for _, seed := range tc.seeds {
 		tc.start(seed, folders[seed], false)
 	}
-	tc.readsBack(tc.nodes[tc.seeds[1]], 5, "five")
+	tc.waitForRead(tc.nodes[tc.seeds[1]], 5, "five")
 }
 
-// TestARestartedNodeServesWhatItKnewBeforeALeaderIsFound: subscribers of a node
-// that came back alone get a configuration, though it is sure of nothing.
-func TestARestartedNodeServesWhatItKnewBeforeALeaderIsFound(t *testing.T) {
+// A node that restarts alone still serves subscribers the configuration on its disk, although it
+// cannot guarantee that it is the newest.
+func TestRestartedNodeServesItsConfigurationWithoutALeader(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
@@ -198,7 +200,7 @@
 	alone := tc.start(tc.seeds[1], tc.nodes[tc.seeds[1]].folder, false)
 	delete(tc.nodes, tc.seeds[0])
 	delete(tc.nodes, tc.seeds[2])
-	tc.eventually("it has applied what it knew to be committed", func() bool { return alone.cluster.Version() >= 5 })
+	tc.eventually("it has applied everything its disk knows to be committed", func() bool { return alone.cluster.Version() >= 5 })
 	is.True(!alone.cluster.Read(context.Background()).Known)
 }
 
@@ -215,10 +217,10 @@
 	for _, seed := range seeds {
 		tc.start(seed, folders[seed], false)
 	}
-	tc.readsBack(tc.nodes[seeds[1]], 5, "five")
+	tc.waitForRead(tc.nodes[seeds[1]], 5, "five")
 }
 
-func TestAWipedNodeJoinsAnewAndNeverVotesAsWhoItWas(t *testing.T) {
+func TestWipedNodeRejoinsAndNeverVotesUnderItsOldIdentity(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
@@ -231,10 +233,10 @@
 		members := tc.nodes[tc.seeds[0]].cluster.members()
 		return members.IsVoter(n.disk.Identity().ID()) && !members.IsVoter(old)
 	})
-	tc.readsBack(n, 5, "five")
+	tc.waitForRead(n, 5, "five")
 }
 
-func TestAnEmptyNodeElsewhereTakesTheLostOnesPlaceAndAnotherLossIsBorne(t *testing.T) {
+func TestNewNodeReplacesLostVoterAndAnotherLossIsTolerated(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	tc.nodes[tc.seeds[2]].kill()
@@ -246,24 +248,24 @@
 	address := held.Address()
 	held.Close()
 	added := tc.start(address, t.TempDir(), false)
-	tc.eventually("the new node has the lost one's vote", func() bool {
+	tc.eventually("the new node has replaced the lost voter", func() bool {
 		members := tc.nodes[tc.seeds[0]].cluster.members()
 		return members.IsVoter(added.disk.Identity().ID()) && len(members.Voters) == 3
 	})
 	tc.nodes[tc.seeds[1]].kill()
 	delete(tc.nodes, tc.seeds[1])
 	tc.put(added, 6, "six")
-	tc.readsBack(tc.nodes[tc.seeds[0]], 6, "six")
+	tc.waitForRead(tc.nodes[tc.seeds[0]], 6, "six")
 }
 
-// TestAnAcknowledgedChangeIsHeldByAMajority, which need not include every node: one that
-// can't be reached at that moment has it later.
+// A majority need not include every node: a node that was unreachable during the change receives it
+// later.
 func TestAnAcknowledgedChangeIsHeldByAMajority(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	away := tc.nodes[tc.seeds[0]]
-	tc.eventually("it has the first one", func() bool { return away.cluster.Version() == 5 })
+	tc.eventually("the isolated node has applied the first version", func() bool { return away.cluster.Version() == 5 })
 	for _, address := range tc.seeds[1:] {
 		tc.nodes[address].cut.Set([]string{tc.seeds[0]})
 	}
@@ -273,21 +275,21 @@
 	for _, address := range tc.seeds {
 		tc.nodes[address].cut.Set(nil)
 	}
-	tc.eventually("it has the second one", func() bool { return away.cluster.Version() == 6 })
+	tc.eventually("the isolated node has applied the second version", func() bool { return away.cluster.Version() == 6 })
 }
 
 func TestANodeWithoutAMajorityPromisesNothing(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
-	// A majority has it now, which may be the two others.
+	// A majority has applied it, which may be the other two nodes.
 	tc.eventually("the node has applied it", func() bool { return tc.nodes[tc.seeds[0]].cluster.Version() == 5 })
 	tc.nodes[tc.seeds[1]].kill()
 	tc.nodes[tc.seeds[2]].kill()
 	delete(tc.nodes, tc.seeds[1])
 	delete(tc.nodes, tc.seeds[2])
 	alone := tc.nodes[tc.seeds[0]]
-	tc.eventually("the lonely node is not sure of the newest", func() bool {
+	tc.eventually("the remaining node no longer knows the newest version", func() bool {
 		return !alone.cluster.Read(context.Background()).Known
 	})
 	reply := alone.cluster.Put(context.Background(), wire.DocumentRequest{Version: 6, Packed: []byte("six")})
@@ -295,8 +297,8 @@
 	is.Equal(alone.cluster.Version(), uint64(5))
 }
 
-// TestALeaderKnowsSinceWhenAtOnce: whoever asks in the moment after the election,
-// before anything else ran, must not be told that the node has led forever.
+// A caller that asks right after the election, before anything else ran, must not be told that the
+// node has led since the zero time.
 func TestALeaderKnowsSinceWhenAtOnce(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
@@ -306,7 +308,7 @@
 	is.True(!idle.Leadership().Since.IsZero())
 }
 
-// TestNextVoters holds who may lose a place to whom.
+// TestNextVoters checks which voter may be replaced, and by which learner.
 func TestNextVoters(t *testing.T) {
 	noon := time.Unix(1_800_000_000, 0)
 	is := is.New(t)
@@ -314,12 +316,12 @@
 	core := leadingCore(noon, members)
 	answer := func(now time.Time, ids ...raft.ID) { replyFrom(core, now, ids...) }
 	answer(noon, "b#0", "c#0", "d#1")
-	is.True(nextVoters(core, noon, 3) == nil) // all are alive
+	is.True(nextVoters(core, noon, 3) == nil) // all voters are in contact
 	now := noon
 	for now.Before(noon.Add(2 * time.Second)) {
 		now = now.Add(100 * time.Millisecond)
 		answer(now, "b#0", "d#1")
-		is.True(nextVoters(core, now, 3) == nil) // a short silence costs no place
+		is.True(nextVoters(core, now, 3) == nil) // a short silence does not cost a vote
 	}
 	for now.Before(noon.Add(3 * time.Second)) {
 		now = now.Add(100 * time.Millisecond)
@@ -332,8 +334,7 @@
 	is.True(next.IsVoter("b#0"))
 }
 
-// leadingCore returns a core that leads under a membership of up to five voters, b#0 and
-// c#0 among them.
+// leadingCore returns a core that leads a membership of up to five voters, including b#0 and c#0.
 func leadingCore(now time.Time, members raft.Members) *raft.Core {
 	start := raft.Start{HardState: raft.HardState{}, Snapshot: raft.Snapshot{Members: members}}
 	core := raft.New("a#0", start, raft.DefaultOptions(), rand.New(rand.NewPCG(1, 1)), now.Add(-2*time.Second))
@@ -356,7 +357,7 @@
 	core.Persisted(now, ready)
 }
 
-// replyFrom lets members answer the leader's present heartbeat.
+// replyFrom makes members reply to the leader's current heartbeat.
 func replyFrom(core *raft.Core, now time.Time, ids ...raft.ID) {
 	core.Tick(now)
 	ready := core.Ready(now)
--- a/src/control/control_bench_test.go
+++ b/src/control/control_bench_test.go
@@ -17,7 +17,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// benchControlNode is a control node in this process with a real folder and real connections.
+// benchControlNode is a control node that runs in the benchmark process with a real data folder and
+// real connections.
 type benchControlNode struct {
 	name    string
 	service *Service
@@ -26,7 +27,7 @@
 	server  *rpc.Server
 }
 
-// startControlNodes starts n control nodes that know each other; folders are synced for real.
+// startControlNodes starts n connected control nodes whose folders are synced to disk.
 func startControlNodes(b *testing.B, n int) []*benchControlNode {
 	b.Helper()
 	var controlNodes []*benchControlNode
@@ -79,7 +80,7 @@
 	b.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		for _, k := range controlNodes {
-			if k.service.leading().self {
+			if k.service.leadership().self {
 				return k
 			}
 		}
@@ -96,7 +97,7 @@
 	return reply.Outcome
 }
 
-// claimAll claims n keys from so many callers and returns the time it took.
+// claimAll claims n keys from the given number of concurrent callers and returns the time taken.
 func claimAll(b *testing.B, k *benchControlNode, n, callers int) time.Duration {
 	b.Helper()
 	var next atomic.Int64
@@ -118,8 +119,8 @@
 	return time.Since(began)
 }
 
-// BenchmarkControlNode measures three control nodes with real syncs next to one alone in
-// the same run, and the time from the leader's loss to the next accepted change.
+// BenchmarkControlNode compares three control nodes with a single one in the same run, both with
+// real syncs. It also measures the time from the loss of the leader to the next accepted change.
 func BenchmarkControlNode(b *testing.B) {
 	const changes, claims, callers = 300, 20000, 128
 	rates := map[int][2]float64{}
@@ -135,7 +136,7 @@
 		changeRate := changes / time.Since(began).Seconds()
 		rates[n] = [2]float64{changeRate, claims / claimAll(b, leader, claims, callers).Seconds()}
 		if n == 3 {
-			b.ReportMetric(float64(lose(b, controlNodes, leader))/float64(time.Millisecond), "leader-loss-to-change-ms")
+			b.ReportMetric(float64(measureFailover(b, controlNodes, leader))/float64(time.Millisecond), "leader-loss-to-change-ms")
 		}
 	}
 	b.ReportMetric(rates[3][0], "changes/s")
@@ -145,15 +146,15 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// lose kills the leader and returns how long the others take to accept a change.
-func lose(b *testing.B, controlNodes []*benchControlNode, leader *benchControlNode) time.Duration {
+// measureFailover stops the leader and returns the time until another node accepts a change.
+func measureFailover(b *testing.B, controlNodes []*benchControlNode, leader *benchControlNode) time.Duration {
 	b.Helper()
 	began := time.Now()
 	leader.stop()
 	leader.server.Close()
 	for i := 0; time.Since(began) < 10*time.Second; i++ {
 		for _, k := range controlNodes {
-			if k != leader && k.service.leading().self && benchChange(context.Background(), k, fmt.Sprint("after", i)) == wire.Accepted {
+			if k != leader && k.service.leadership().self && benchChange(context.Background(), k, fmt.Sprint("after", i)) == wire.Accepted {
 				return time.Since(began)
 			}
 		}
@@ -163,7 +164,7 @@
 	return 0
 }
 
-// BenchmarkControlNodeClaims measures the memory that claims take in the state.
+// BenchmarkControlNodeClaims measures the memory used by claims in the state.
 func BenchmarkControlNodeClaims(b *testing.B) {
 	const count = 100000
 	for range b.N {
--- a/src/control/delay.go
+++ b/src/control/delay.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// delaySpan is the span over which the longest delays are kept: as long as the scrape of a
-// usual metrics collector, so that none is missed.
-const delaySpan = 15 * time.Second
+// delayWindow is the window over which the longest delays are kept. It matches the usual scrape
+// interval of metrics collectors, so that no peak is missed.
+const delayWindow = 15 * time.Second
 
-// slowLoop is from when on a delay of the node's loop is logged: half of the shortest
-// election time, beyond which delays of two nodes add up to a lost leader.
-const slowLoop = 250 * time.Millisecond
+// slowLoopThreshold is the event loop delay that is logged. It is half of the shortest election
+// timeout: above it, the delays of two nodes together can cost the leader its leadership.
+const slowLoopThreshold = 250 * time.Millisecond
 
-// slowWrite is from when on a write that is under way is logged.
-const slowWrite = time.Second
+// slowWriteThreshold is how long a write must be in progress to be logged as slow.
+const slowWriteThreshold = time.Second
 
-// Delays are the longest delays of a control node's loop and of its disk lately.
+// Delays are the longest recent delays of a control node's event loop and disk.
 type Delays struct {
-	// Wait is how long a message or a question waited until the loop took it.
+	// Wait is how long a message or call was queued before the loop handled it.
 	Wait time.Duration
-	// Step is how long one turn of the loop took.
+	// Step is how long one iteration of the loop took.
 	Step time.Duration
-	// Write is how long a write took, or has been under way.
+	// Write is how long a write took, or has been in progress.
 	Write time.Duration
 }
 
-// longer returns the longer ones of each kind.
-func (d Delays) longer(other Delays) Delays {
+// maximum returns the longer delay of each kind.
+func (d Delays) maximum(other Delays) Delays {
 	return Delays{Wait: max(d.Wait, other.Wait), Step: max(d.Step, other.Step), Write: max(d.Write, other.Write)}
 }
 
-// delayMeter keeps the longest delays of the present span and the one before; it is safe
-// for concurrent use.
+// delayMeter keeps the longest delays of the current and the previous window. It is safe for
+// concurrent use.
 type delayMeter struct {
-	mu      sync.Mutex
-	began   time.Time
-	present Delays
-	before  Delays
+	mu          sync.Mutex
+	windowStart time.Time
+	current     Delays
+	previous    Delays
 }
 
-// note takes in the delays of one turn.
-func (m *delayMeter) note(now time.Time, d Delays) {
+// record adds the delays of one loop iteration or write.
+func (m *delayMeter) record(now time.Time, d Delays) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.turn(now)
-	m.present = m.present.longer(d)
+	m.rotate(now)
+	m.current = m.current.maximum(d)
 }
 
-// longest returns the longest delays of one to two spans.
+// longest returns the longest delays of the last one to two windows.
 func (m *delayMeter) longest(now time.Time) Delays {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.turn(now)
-	return m.present.longer(m.before)
+	m.rotate(now)
+	return m.current.maximum(m.previous)
 }
 
-// turn begins a new span when the present one is over; the lock is held.
-func (m *delayMeter) turn(now time.Time) {
-	age := now.Sub(m.began)
-	if age < delaySpan {
+// rotate starts a new window if the current one is over. The caller holds the lock.
+func (m *delayMeter) rotate(now time.Time) {
+	age := now.Sub(m.windowStart)
+	if age < delayWindow {
 		return
 	}
-	m.before = m.present
-	if age >= 2*delaySpan {
-		m.before = Delays{}
+	m.previous = m.current
+	if age >= 2*delayWindow {
+		m.previous = Delays{}
 	}
-	m.present = Delays{}
-	m.began = now
+	m.current = Delays{}
+	m.windowStart = now
 }
--- a/src/control/extension_test.go
+++ b/src/control/extension_test.go
@@ -17,20 +17,19 @@
 		t.Fatal(err)
 	}
 	if got := s.Apply(raft.Entry{Kind: raft.EntryCommand, Data: data}); got.outcome != wire.Accepted {
-		t.Fatalf("the entry came to %q: %s", got.outcome, got.reason)
+		t.Fatalf("applying the entry: outcome %q, reason %s", got.outcome, got.reason)
 	}
 }
 
-// TestExtensionsOutlastASnapshot: whoever leads after a restart must know what accounts
-// used at once.
-func TestExtensionsOutlastASnapshot(t *testing.T) {
+// A leader elected after a restart must know how much each account used beyond its rate.
+func TestExtensionsSurviveSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	applyExtension(t, s, "a", 300)
 	applyExtension(t, s, "b", 20)
 	seen := s.extensions
 	applyExtension(t, s, "b", 0)
-	is.Equal(seen, map[string]float64{"a": 300, "b": 20}) // what was handed out does not change
+	is.Equal(seen, map[string]float64{"a": 300, "b": 20}) // a map handed out earlier does not change
 	data, err := s.Save()
 	is.NoErr(err)
 	restored, err := RestoreState(data)
--- a/src/control/grant.go
+++ b/src/control/grant.go
@@ -11,21 +11,21 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of authority. A holder counts its lease from before it asked; the
-// control nodes wait longer than the lease, by a margin for clocks whose rates differ
-// and for orders that were under way when the lease ended.
+// The timing of planner authority. A holder counts its lease from before it sent the request.
+// Before a takeover the control nodes wait longer than the lease, to allow for clocks that run at
+// different rates and for orders in flight when the lease ended.
 const (
-	AuthorityLease = 4 * time.Second
-	rateMargin     = AuthorityLease / 4
-	orderDelay     = time.Second
-	takeOverAfter  = AuthorityLease + rateMargin + orderDelay
+	AuthorityLease      = 4 * time.Second
+	clockRateMargin     = AuthorityLease / 4
+	inFlightOrderMargin = time.Second
+	takeoverDelay       = AuthorityLease + clockRateMargin + inFlightOrderMargin
 )
 
 func (s *Service) grant(ctx context.Context, _ *rpc.Peer, request wire.GrantRequest) (wire.GrantReply, error) {
-	lead := s.leading()
+	lead := s.leadership()
 	if !lead.self {
 		reply := wire.GrantReply{Outcome: wire.Unavailable, Reason: "no leader among the control nodes is in reach"}
-		_, err := s.toLeader(ctx, lead.leader, wire.MethodGrant, request, &reply)
+		_, err := s.callLeader(ctx, lead.leader, wire.MethodGrant, request, &reply)
 		return reply, err
 	}
 	var cmd *grantCommand
@@ -48,8 +48,8 @@
 	return wire.GrantReply{Outcome: wire.Accepted, Epoch: applied.epoch, Lease: config.Duration(AuthorityLease)}, nil
 }
 
-// prepareGrant decides whether a planner may have a zone's authority now; it
-// returns nil and why not, if it may not.
+// prepareGrant decides whether a planner may hold a zone's authority now. If not, it returns nil
+// and the reason.
 func (r *Replica) prepareGrant(now time.Time, request wire.GrantRequest) (*grantCommand, string) {
 	cmd := &grantCommand{
 		Zone:    request.Zone,
@@ -66,8 +66,8 @@
 		cmd.Epoch = held.Epoch
 		return cmd, ""
 	}
-	if waited := now.Sub(r.renewedAt[request.Zone]); waited < takeOverAfter {
-		return nil, fmt.Sprintf("the lease of %s may run for another %s", held.Holder, (takeOverAfter - waited).Round(time.Millisecond))
+	if waited := now.Sub(r.renewedAt[request.Zone]); waited < takeoverDelay {
+		return nil, fmt.Sprintf("the lease of %s may run for another %s", held.Holder, (takeoverDelay - waited).Round(time.Millisecond))
 	}
 	cmd.Epoch = held.Epoch + 1
 	return cmd, ""
--- a/src/control/history_test.go
+++ b/src/control/history_test.go
@@ -12,46 +12,45 @@
 
 func init() { testseed.Fix() }
 
-// TestRandomHistories lets faults of every kind strike at random, together and
-// one after the other, with clocks that run at different rates, and then checks
-// every promise: one leader a term, nothing accepted lost or changed, one token a
-// key, one holder an epoch, all states equal.
+// TestRandomHistories injects random combinations of all kinds of faults, with clocks that run at
+// different rates, and then checks the invariants: one leader per term, no accepted change lost or
+// modified, one token per key, one holder per epoch, and equal states on all nodes.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) { randomHistory(rt, randomEvent) })
 }
 
-// randomHistory plays strikes one after the other beside callers, and checks every promise once all
-// trouble is over.
-func randomHistory(rt *rapid.T, strike func(rt *rapid.T, s *sim)) {
+// randomHistory alternates injected faults with client requests, and checks all invariants after
+// the faults have ended.
+func randomHistory(rt *rapid.T, inject func(rt *rapid.T, s *sim)) {
 	s := newSim(rt, rapid.Uint64().Draw(rt, "seed"), "k1", "k2", "k3")
 	for i, name := range s.names() {
-		s.nodes[name].drift = 1 + float64(rapid.IntRange(-4, 4).Draw(rt, fmt.Sprint("drift", i)))/100
+		s.nodes[name].clockRate = 1 + float64(rapid.IntRange(-4, 4).Draw(rt, fmt.Sprint("drift", i)))/100
 	}
 	s.run(2 * time.Second)
 	for i := range rapid.IntRange(3, 12).Draw(rt, "events") {
-		strike(rt, s)
+		inject(rt, s)
 		for j := range 6 {
 			s.change(fmt.Sprint("h", i, j), fmt.Sprint("l", j))
 			s.claim(fmt.Sprint("k", rapid.IntRange(0, 5).Draw(rt, "key")), fmt.Sprint("t", i, j))
 			s.grant(fmt.Sprint("p", rapid.IntRange(0, 2).Draw(rt, "holder")))
 			s.document(uint64(s.sent))
 			s.run(time.Duration(rapid.IntRange(10, 900).Draw(rt, "pause")) * time.Millisecond)
-			s.tend()
+			s.maintainMembership()
 		}
 	}
 	s.effects = nil
 	s.heal()
-	s.disarm()
+	s.clearDiskFaults()
 	s.fastDisks()
-	revive(s, "")
-	if !s.until(90*time.Second, func() bool { s.tend(); return s.settled() }) {
-		rt.Fatal("the control nodes did not settle" + s.describe())
+	restartStopped(s, "")
+	if !s.until(90*time.Second, func() bool { s.maintainMembership(); return s.converged() }) {
+		rt.Fatal("the control nodes did not converge" + s.describe())
 	}
-	s.check()
+	s.checkFinalState()
 }
 
-// randomEvent strikes with one fault; at most one disk is lost at a time, and
-// the next only after the control nodes have settled.
+// randomEvent injects one fault. At most one disk is lost at a time, and the next one only after
+// the control nodes have recovered.
 func randomEvent(rt *rapid.T, s *sim) {
 	name := rapid.SampledFrom(s.names()).Draw(rt, "node")
 	n := s.nodes[name]
@@ -59,9 +58,9 @@
 	case "kill":
 		s.kill(name)
 	case "revive":
-		revive(s, "")
+		restartStopped(s, "")
 	case "wipe":
-		if s.settled() {
+		if s.converged() {
 			s.kill(name)
 			s.wipe(name)
 			s.boot(name)
@@ -73,14 +72,14 @@
 	case "heal":
 		s.heal()
 	case "freeze":
-		n.frozenTo = s.now.Add(frozenFor)
+		n.frozenUntil = s.now.Add(freezeDuration)
 	case "lossy":
 		s.effects = lossy(s)
 	case "calm":
 		s.effects = nil
 	case "before":
-		n.disk.beforeSync = once()
+		n.disk.beforeSync = firstCallOnly()
 	case "after":
-		n.disk.afterSync = once()
+		n.disk.afterSync = firstCallOnly()
 	}
 }
--- a/src/control/join.go
+++ b/src/control/join.go
@@ -9,10 +9,10 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// joinTimeout bounds the asking of one node to be let in, which passes it on to the leader.
+// joinTimeout bounds a join request to one node, which may forward it to the leader.
 const joinTimeout = forwardTimeout + 150*time.Millisecond
 
-// joinAnswer is what one node said to a node that asked to be let in.
+// joinAnswer is one node's reply to a join request.
 type joinAnswer struct {
 	address string
 	reply   wire.MembersReply
@@ -31,43 +31,43 @@
 	return a.address + ": " + a.reply.Reason
 }
 
-// askToJoin asks all other nodes that are known to be let in as a learner, until one has
-// reached the leader. It learns of further nodes from their answers.
-func (c *Cluster) askToJoin(ctx context.Context) {
+// requestJoin asks all other known nodes to add this node as a learner, until one request has been
+// accepted by the leader. It learns of further nodes from the replies.
+func (c *Cluster) requestJoin(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	asked := c.others()
-	answers := make(chan joinAnswer, len(asked))
-	for _, address := range asked {
-		go func() { answers <- c.askNode(ctx, address) }()
+	addresses := c.otherAddresses()
+	answers := make(chan joinAnswer, len(addresses))
+	for _, address := range addresses {
+		go func() { answers <- c.requestJoinFrom(ctx, address) }()
 	}
 	accepted, reason := false, "no other control node is known"
-	for range asked {
+	for range addresses {
 		answer := <-answers
-		c.meetMembers(answer.reply.Members)
+		c.addKnownMembers(answer.reply.Members)
 		accepted, reason = answer.accepted(), answer.reason()
 		if accepted {
 			break
 		}
 	}
-	c.noteJoin(c.now(), accepted, reason)
+	c.logJoin(c.now(), accepted, reason)
 }
 
-func (c *Cluster) askNode(ctx context.Context, address string) joinAnswer {
+func (c *Cluster) requestJoinFrom(ctx context.Context, address string) joinAnswer {
 	answer := joinAnswer{address: address}
 	request := wire.MembersRequest{AddLearner: c.options.ID}
 	answer.err = c.links.Client(address).Call(ctx, wire.MethodMembers, request, &answer.reply)
 	return answer
 }
 
-// changeMembers lets a node in as a learner if this node leads; else it passes the request
-// on to the leader, once.
+// changeMembers adds a node as a learner if this node leads. Otherwise it forwards the request to
+// the leader, unless it has been forwarded before.
 func (c *Cluster) changeMembers(ctx context.Context, _ *rpc.Peer, request wire.MembersRequest) (wire.MembersReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	lead := c.Leadership()
 	if lead.Self {
-		return c.letIn(ctx, request), nil
+		return c.addLearner(ctx, request), nil
 	}
 	refused := wire.MembersReply{Outcome: wire.Unavailable, Members: c.members(), Reason: "this node does not lead"}
 	if request.Forwarded {
@@ -75,30 +75,30 @@
 	}
 	request.Forwarded = true
 	var reply wire.MembersReply
-	if err := c.passOn(ctx, lead, wire.MethodMembers, request, &reply); err != nil {
+	if err := c.forwardToLeader(ctx, lead, wire.MethodMembers, request, &reply); err != nil {
 		refused.Reason = "it can't be passed on to the leader: " + err.Error()
 		return refused, nil
 	}
 	return reply, nil
 }
 
-// letIn makes a node a learner; this node leads.
-func (c *Cluster) letIn(ctx context.Context, request wire.MembersRequest) wire.MembersReply {
+// addLearner makes a node a learner. This node must be the leader.
+func (c *Cluster) addLearner(ctx context.Context, request wire.MembersRequest) wire.MembersReply {
 	members := c.members()
 	id := request.AddLearner
 	if id == "" || members.IsVoter(id) || members.IsLearner(id) {
 		return wire.MembersReply{Outcome: wire.Accepted, Members: members}
 	}
-	return c.proposeMembers(ctx, wanted(members, request))
+	return c.proposeMembers(ctx, membersAfter(members, request))
 }
 
-// others returns the addresses of all nodes ever heard of but this one.
-func (c *Cluster) others() []string {
-	c.meetMembers(c.members())
+// otherAddresses returns all known control node addresses except this node's own.
+func (c *Cluster) otherAddresses() []string {
+	c.addKnownMembers(c.members())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []string
-	for address := range c.met {
+	for address := range c.knownAddresses {
 		if address != c.Address() {
 			list = append(list, address)
 		}
@@ -106,16 +106,16 @@
 	return list
 }
 
-// Meet remembers the addresses of control nodes.
+// Meet records the addresses of control nodes.
 func (c *Cluster) Meet(addresses ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range addresses {
-		c.met[address] = true
+		c.knownAddresses[address] = true
 	}
 }
 
-func (c *Cluster) meetMembers(members raft.Members) {
+func (c *Cluster) addKnownMembers(members raft.Members) {
 	for _, id := range members.All() {
 		c.Meet(nameOf(id))
 	}
--- a/src/control/join_test.go
+++ b/src/control/join_test.go
@@ -13,7 +13,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// freeAddress returns a loopback address that nothing listens at.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	held, err := rpc.Listen("127.0.0.1:0", rpc.NewMux(), &rpc.Meter{})
@@ -24,7 +24,7 @@
 	return held.Address()
 }
 
-// newSpare starts an empty node that is nobody's seed and waits until it is a learner.
+// newSpare starts an empty node that is not a seed and waits until it is a learner.
 func (tc *testCluster) newSpare() string {
 	tc.t.Helper()
 	address := freeAddress(tc.t)
@@ -35,15 +35,15 @@
 	return address
 }
 
-// wipe ends a node and starts it again with an empty folder.
+// wipe stops a node and restarts it with an empty folder.
 func (tc *testCluster) wipe(address string) *clusterNode {
 	tc.t.Helper()
 	tc.nodes[address].kill()
 	return tc.start(address, tc.t.TempDir(), false)
 }
 
-// leadAt lets the node at an address, a voter, be elected.
-func (tc *testCluster) leadAt(address string) {
+// electNode makes the voter at an address the leader.
+func (tc *testCluster) electNode(address string) {
 	tc.t.Helper()
 	n := tc.nodes[address]
 	tc.eventually(address+" leads", func() bool {
@@ -58,8 +58,8 @@
 	})
 }
 
-// repaired reports whether every node is a member and a leader hears all voters.
-func (tc *testCluster) repaired() bool {
+// allInContact reports whether every node is a member and a leader is in contact with all voters.
+func (tc *testCluster) allInContact() bool {
 	led := false
 	for _, n := range tc.nodes {
 		q := n.cluster.Quorum()
@@ -71,8 +71,9 @@
 	return led
 }
 
-// voting returns whether the nodes at the addresses are the voters, as one of them knows.
-func (tc *testCluster) voting(asked string, addresses ...string) bool {
+// votersAre reports whether the voters, as known by the asked node, are exactly the nodes at the
+// given addresses.
+func (tc *testCluster) votersAre(asked string, addresses ...string) bool {
 	members := tc.nodes[asked].cluster.members()
 	if len(members.Voters) != len(addresses) {
 		return false
@@ -85,46 +86,46 @@
 	return true
 }
 
-// leadFromNoSeed kills the second seed's node, lets a spare node take its vote and lead, and
-// returns the spare node's address.
-func (tc *testCluster) leadFromNoSeed() string {
+// electNonSeed stops the node of the second seed, lets a spare node take its vote and become the
+// leader, and returns the address of the spare node.
+func (tc *testCluster) electNonSeed() string {
 	tc.t.Helper()
 	a, b, c := tc.seeds[0], tc.seeds[1], tc.seeds[2]
 	spare := tc.newSpare()
 	tc.nodes[b].kill()
-	tc.eventually("the spare node votes", func() bool { return tc.voting(a, a, spare, c) })
-	tc.leadAt(spare)
+	tc.eventually("the spare node votes", func() bool { return tc.votersAre(a, a, spare, c) })
+	tc.electNode(spare)
 	return spare
 }
 
-// TestAWipedNodeIsLetInThoughNoSeedLeads: seeds tell where to ask first; who leads changes.
+// Seeds are only the first addresses to ask; the leader may be another node.
 func TestAWipedNodeIsLetInThoughNoSeedLeads(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
-	tc.leadFromNoSeed()
+	tc.electNonSeed()
 	back := tc.start(tc.seeds[1], t.TempDir(), false)
-	tc.eventually("the wiped node is let in", func() bool { return back.cluster.Quorum().Member })
-	tc.readsBack(back, 5, "five")
+	tc.eventually("the wiped node has joined", func() bool { return back.cluster.Quorum().Member })
+	tc.waitForRead(back, 5, "five")
 }
 
-// TestAnEmptyNodeElsewhereIsLetInThoughNoSeedLeads: nobody knows its address.
+// The node joins from an address that no other node knows.
 func TestAnEmptyNodeElsewhereIsLetInThoughNoSeedLeads(t *testing.T) {
 	tc := newTestCluster(t, 3)
-	tc.leadFromNoSeed()
+	tc.electNonSeed()
 	delete(tc.nodes, tc.seeds[1])
 	tc.newSpare()
 }
 
-// TestDisksLostOneAfterTheOtherLeaveAMajority: each is replaced before the next is lost, so
-// that what was acknowledged last is in force after all have lost power at once.
+// Each lost disk is replaced before the next one is lost, so a majority always holds the last
+// acknowledged change, also after all nodes lose power at once.
 func TestDisksLostOneAfterTheOtherLeaveAMajority(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	a, b, c := tc.seeds[0], tc.seeds[1], tc.seeds[2]
-	spare := tc.leadFromNoSeed()
+	spare := tc.electNonSeed()
 	tc.start(b, t.TempDir(), false)
-	tc.eventually("all take part", tc.repaired)
+	tc.eventually("all nodes are in contact", tc.allInContact)
 	tc.wipe(c)
-	tc.eventually("all take part again", tc.repaired)
+	tc.eventually("all nodes are in contact again", tc.allInContact)
 	tc.put(tc.nodes[spare], 6, "six")
 	folders := map[string]string{}
 	for address, n := range tc.nodes {
@@ -135,11 +136,11 @@
 	for address, folder := range folders {
 		tc.start(address, folder, false)
 	}
-	tc.readsBack(tc.nodes[spare], 6, "six")
+	tc.waitForRead(tc.nodes[spare], 6, "six")
 }
 
-// TestNextVotersReplacesTwoWipedVoters though a learner that holds everything stands before
-// them, and takes a learner at another address where nobody came back.
+// Wiped voters are replaced by the learners at their own addresses, even if another caught-up
+// learner precedes those in the membership.
 func TestNextVotersReplacesTwoWipedVoters(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
@@ -149,14 +150,14 @@
 	}
 	core := leadingCore(noon, members)
 	heard := []raft.ID{"b#0", "c#0", "f#1", "d#2", "e#2"}
-	now := answerFor(core, noon, 1500*time.Millisecond, heard...)
+	now := replyFor(core, noon, 1500*time.Millisecond, heard...)
 	next := nextVoters(core, now, 5)
 	is.True(next != nil)
 	is.True(!next.IsVoter("d#0") || !next.IsVoter("e#0"))
 	is.Equal(len(next.Voters), 4)
 }
 
-// TestNextVotersReplacesVotersThatAreGoneForGood, one after the other, though two are silent.
+// Voters that are permanently gone are replaced one at a time, although two of them are silent.
 func TestNextVotersReplacesVotersThatAreGoneForGood(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
@@ -166,33 +167,34 @@
 	}
 	core := leadingCore(noon, members)
 	heard := []raft.ID{"b#0", "c#0", "f#1", "g#1"}
-	now := answerFor(core, noon, 2*time.Second, heard...)
-	is.True(nextVoters(core, now, 5) == nil) // a short silence costs no place
-	now = answerFor(core, now, time.Second, heard...)
+	now := replyFor(core, noon, 2*time.Second, heard...)
+	is.True(nextVoters(core, now, 5) == nil) // a short silence does not cost a vote
+	now = replyFor(core, now, time.Second, heard...)
 	next := nextVoters(core, now, 5)
 	is.True(next != nil)
 	is.True(!next.IsVoter("d#0") || !next.IsVoter("e#0"))
 	is.True(next.IsVoter("b#0") && next.IsVoter("c#0"))
 }
 
-// TestNextVotersForgetsLearnersThatAreGone, and no others.
+// Only learners that are out of contact are removed.
 func TestNextVotersForgetsLearnersThatAreGone(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}, Learners: []raft.ID{"f#1", "g#1"}}
 	core := leadingCore(noon, members)
 	heard := []raft.ID{"b#0", "c#0", "g#1"}
-	now := answerFor(core, noon, learnerSilence-time.Second, heard...)
+	now := replyFor(core, noon, learnerRemoveAfter-time.Second, heard...)
 	is.True(nextVoters(core, now, 3) == nil)
-	now = answerFor(core, now, 2*time.Second, heard...)
+	now = replyFor(core, now, 2*time.Second, heard...)
 	next := nextVoters(core, now, 3)
 	is.True(next != nil)
 	is.Equal(next.Learners, []raft.ID{"g#1"})
 	is.Equal(next.Voters, members.Voters)
 }
 
-// answerFor lets members answer a leader's heartbeats for a while and returns the time.
-func answerFor(core *raft.Core, from time.Time, span time.Duration, ids ...raft.ID) time.Time {
+// replyFor makes members reply to the leader's heartbeats for a span and returns the time at its
+// end.
+func replyFor(core *raft.Core, from time.Time, span time.Duration, ids ...raft.ID) time.Time {
 	now := from
 	for now.Before(from.Add(span)) {
 		now = now.Add(100 * time.Millisecond)
@@ -201,28 +203,28 @@
 	return now
 }
 
-// TestAMessageForALostFolderSaysWhomToAsk: the others still send to the address under the
-// identity that was lost, and need be nobody's seed.
+// The other nodes still send messages to the address under its earlier identity; their senders need
+// not be seeds.
 func TestAMessageForALostFolderSaysWhomToAsk(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
 	tc.seeds = nil
 	outside := tc.start(freeAddress(t), t.TempDir(), false)
-	is.Equal(len(outside.cluster.others()), 0)
+	is.Equal(len(outside.cluster.otherAddresses()), 0)
 	lost := raft.ID(outside.address + "#lost")
 	_, err := outside.cluster.step(context.Background(), nil, raft.Message{Kind: raft.MsgAppend, From: "127.0.0.1:1#0", To: lost, Term: 1})
 	is.NoErr(err)
-	is.Equal(outside.cluster.others(), []string{"127.0.0.1:1"})
+	is.Equal(outside.cluster.otherAddresses(), []string{"127.0.0.1:1"})
 }
 
-// TestARequestToBeLetInIsPassedOnOnce: two nodes that take each other for the leader must
-// not send it to and fro; the answer names whom else to ask.
+// Two nodes that take each other for the leader must not forward a request back and forth. The
+// reply names other nodes to ask.
 func TestARequestToBeLetInIsPassedOnOnce(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	a, b := tc.nodes[tc.seeds[0]], tc.nodes[tc.seeds[1]]
-	tc.leadAt(a.address)
-	tc.eventually("the other one follows", func() bool { return b.cluster.Leadership().Address == a.address })
+	tc.electNode(a.address)
+	tc.eventually("the other node follows", func() bool { return b.cluster.Leadership().Address == a.address })
 	ask := func(id raft.ID, forwarded bool) wire.MembersReply {
 		reply, err := b.cluster.changeMembers(context.Background(), nil, wire.MembersRequest{AddLearner: id, Forwarded: forwarded})
 		is.NoErr(err)
@@ -231,10 +233,10 @@
 	refused := ask("127.0.0.1:1#1", true)
 	is.Equal(refused.Outcome, wire.Unavailable)
 	is.Equal(len(refused.Members.Voters), 3)
-	tc.eventually("it is passed on", func() bool { return ask("127.0.0.1:1#1", false).Outcome == wire.Accepted })
+	tc.eventually("the request is forwarded", func() bool { return ask("127.0.0.1:1#1", false).Outcome == wire.Accepted })
 }
 
-// TestANodeThatIsNoMemberKnowsNoMajority, so that it acknowledges nothing that needs one.
+// A node that is not a member must not acknowledge anything that requires a majority.
 func TestANodeThatIsNoMemberKnowsNoMajority(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
@@ -244,9 +246,9 @@
 	is.True(!known)
 }
 
-// TestWhyANodeIsNotLetInIsLoggedNowAndThen, and at once when it is let in: every node that
-// it asks has a reason of its own.
-func TestWhyANodeIsNotLetInIsLoggedNowAndThen(t *testing.T) {
+// Every node that is asked gives its own reason, so reasons are logged at intervals, while
+// acceptance is logged at once.
+func TestRejectedJoinRequestsAreLoggedAtAnInterval(t *testing.T) {
 	is := is.New(t)
 	ring := event.NewRing("n", 64, nil, time.Now)
 	c := &Cluster{ring: ring}
@@ -256,14 +258,14 @@
 	}
 	now := time.Unix(1_800_000_000, 0)
 	for range 25 {
-		c.noteJoin(now, false, "a: no leader")
-		c.noteJoin(now, false, "b: can't be reached")
+		c.logJoin(now, false, "a: no leader")
+		c.logJoin(now, false, "b: can't be reached")
 		now = now.Add(200 * time.Millisecond)
 	}
 	is.Equal(logged(), 1)
-	c.noteJoin(now, false, "a: no leader")
-	c.noteJoin(now, false, "b: can't be reached")
+	c.logJoin(now, false, "a: no leader")
+	c.logJoin(now, false, "b: can't be reached")
 	is.Equal(logged(), 2)
-	c.noteJoin(now, true, "accepted by a")
+	c.logJoin(now, true, "accepted by a")
 	is.Equal(logged(), 3)
 }
--- a/src/control/links.go
+++ b/src/control/links.go
@@ -11,28 +11,28 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times after which a link without a sign is tried with a ping; the ping has as long
-// again.
+// An idle connection is checked with a ping after these times; the ping must be answered within the
+// same time again.
 const (
-	// linkSilence is that of a link for calls.
-	linkSilence = 400 * time.Millisecond
-	// messageSilence is that of a link for consensus messages, on which nothing comes back
-	// but answers to pings: a node that is short of processor time answers late, and a link
-	// that is closed loses the votes on their way. With 400 ms and a processor filled by
-	// 1,200 streams, links were closed between nodes that were well, and the first leader
-	// after a loss of all power came 2.7 to 4.0 s after the first start.
-	messageSilence = time.Second
+	// callPingTimeout applies to connections for calls.
+	callPingTimeout = 400 * time.Millisecond
+	// messagePingTimeout applies to connections for consensus messages, which receive nothing but
+	// ping replies. A node that is short of CPU time replies late, and closing the connection loses
+	// the votes in flight. With 400 ms on a CPU saturated by 1,200 streams, connections between
+	// healthy nodes were closed, and after a full power loss the first leader was elected 2.7 to
+	// 4.0 s after the first start.
+	messagePingTimeout = time.Second
 )
 
-// messageTimeout bounds the wait for a link when a consensus message goes out;
-// one that is older has been overtaken by the next heartbeat.
+// messageTimeout bounds how long a consensus message waits for a connection. An older message has
+// been superseded by the next heartbeat.
 const messageTimeout = 300 * time.Millisecond
 
-// messageQueue bounds the consensus messages that wait for a link.
-const messageQueue = 512
+// messageQueueSize bounds the consensus messages queued for a connection.
+const messageQueueSize = 512
 
-// Links are a control node's connections to others, made when they are first
-// needed; they are safe for concurrent use.
+// Links holds a control node's connections to others, which are opened on first use. It is safe for
+// concurrent use.
 type Links struct {
 	meter *rpc.Meter
 	cut   *fault.Cut
@@ -41,15 +41,15 @@
 	links map[string]*link
 }
 
-// link leads to one node. Consensus messages have a connection of their own: notifications
-// on a connection are handled in order, and one that takes long must not hold up a vote.
+// link holds the connections to one node. Consensus messages have a connection of their own, because
+// notifications on a connection are handled in order: a slow one must not delay a vote.
 type link struct {
 	client   *rpc.Client
 	messages *rpc.Client
 	queue    chan raft.Message
 }
 
-// NewLinks returns links without connections.
+// NewLinks returns Links without open connections.
 func NewLinks(meter *rpc.Meter, cut *fault.Cut) *Links {
 	return &Links{meter: meter, cut: cut, links: map[string]*link{}}
 }
@@ -57,23 +57,24 @@
 func (l *Links) get(address string) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.links[address]
-	if known == nil {
-		known = &link{
-			client:   rpc.NewClient(address, rpc.NewMux(), l.meter, l.cut, linkSilence),
-			messages: rpc.NewClient(address, rpc.NewMux(), l.meter, l.cut, messageSilence),
-			queue:    make(chan raft.Message, messageQueue),
+	existing := l.links[address]
+	if existing == nil {
+		existing = &link{
+			client:   rpc.NewClient(address, rpc.NewMux(), l.meter, l.cut, callPingTimeout),
+			messages: rpc.NewClient(address, rpc.NewMux(), l.meter, l.cut, messagePingTimeout),
+			queue:    make(chan raft.Message, messageQueueSize),
 		}
-		l.links[address] = known
-		go known.forward()
+		l.links[address] = existing
+		go existing.sendMessages()
 	}
-	return known
+	return existing
 }
 
-// Client returns the connection for calls to a node's address.
+// Client returns the client for calls to a node's address.
 func (l *Links) Client(address string) *rpc.Client { return l.get(address).client }
 
-// Send queues a consensus message; one to a node that can't be reached is lost.
+// Send queues a consensus message. The message is dropped if the queue is full or the node is
+// unreachable.
 func (l *Links) Send(m raft.Message) {
 	select {
 	case l.get(nameOf(m.To)).queue <- m:
@@ -81,7 +82,7 @@
 	}
 }
 
-func (l *link) forward() {
+func (l *link) sendMessages() {
 	for m := range l.queue {
 		ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 		_ = l.messages.Notify(ctx, wire.MethodStep, m)
--- a/src/control/links_test.go
+++ b/src/control/links_test.go
@@ -11,10 +11,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestAVoteDoesNotWaitBehindOtherNews: users saw an installation without a leader for
-// seconds after all power had come back. Notifications on a connection are handled in
-// order, and votes shared one with demand, loads and backlogs: behind one that waited for
-// the processor all votes waited.
+// Notifications on a connection are handled in order, and votes once shared a connection with
+// demand, load and backlog reports. When one of those waited for the CPU, all votes waited too, and
+// after a full power loss there was no leader for seconds.
 func TestAVoteDoesNotWaitBehindOtherNews(t *testing.T) {
 	is := is.New(t)
 	held, release, stepped := make(chan struct{}), make(chan struct{}), make(chan raft.Message)
--- a/src/control/main.go
+++ b/src/control/main.go
@@ -17,8 +17,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// handOverWait is how long a stopping leader waits for its successor.
-const handOverWait = 500 * time.Millisecond
+// leaderTransferWait is how long a stopping leader waits for another node to take over.
+const leaderTransferWait = 500 * time.Millisecond
 
 // Main runs moorspool-control and returns its exit code.
 func Main(arguments []string) int {
@@ -32,20 +32,20 @@
 	})
 }
 
-// folderCommand runs inspect, backup and restore on a data folder.
-func folderCommand(words []string) error {
+// folderCommand runs the inspect, backup and restore commands on a data folder.
+func folderCommand(arguments []string) error {
 	switch {
-	case words[0] == "inspect" && len(words) == 2:
-		return inspect(words[1])
-	case words[0] == "backup" && len(words) == 3:
-		return store.Backup(words[1], words[2])
-	case words[0] == "restore" && len(words) == 3:
-		return store.Restore(words[1], words[2])
+	case arguments[0] == "inspect" && len(arguments) == 2:
+		return inspect(arguments[1])
+	case arguments[0] == "backup" && len(arguments) == 3:
+		return store.Backup(arguments[1], arguments[2])
+	case arguments[0] == "restore" && len(arguments) == 3:
+		return store.Restore(arguments[1], arguments[2])
 	}
 	return errors.New("use inspect FOLDER, backup FOLDER FILE or restore FILE FOLDER")
 }
 
-// inspection is what inspect prints.
+// inspection is the output of the inspect command.
 type inspection struct {
 	Identity store.Identity `json:"identity"`
 	State    raft.HardState `json:"hardState"`
@@ -65,18 +65,19 @@
 	if err != nil {
 		return err
 	}
-	found := inspection{Identity: identity, State: start.HardState, Snapshot: start.Snapshot.Index, Last: start.LastIndex(), Members: start.Members()}
+	report := inspection{Identity: identity, State: start.HardState, Snapshot: start.Snapshot.Index, Last: start.LastIndex(), Members: start.Members()}
 	for _, entry := range start.Entries {
 		state.Apply(entry)
 	}
-	found.Objects = state.Set().Len()
-	found.Claims = state.Claims()
+	report.Objects = state.Set().Len()
+	report.Claims = state.Claims()
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(found)
+	return encoder.Encode(report)
 }
 
-// run is a control node's life from its settings to its stop.
+// run runs a control node until it is stopped or fails. found is set if an empty data folder may
+// found a new installation.
 func run(settings option.ControlNode, found bool) error {
 	ctx, cancel := process.UntilSignal()
 	defer cancel()
@@ -125,13 +126,13 @@
 	return service.CheckDisk(ctx, folder.Identity().ID(), start.LastIndex(), found)
 }
 
-// serve runs node and service until a signal, or until the disk fails.
+// serve runs the node and the service until a signal arrives or the disk fails.
 func serve(ctx context.Context, proc *process.Process, node *Node, service *Service) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error, 1)
 	go func() { ended <- node.Run(inner) }()
-	go service.Tend(inner)
+	go service.MaintainMembership(inner)
 	proc.SetReady(true)
 	select {
 	case err := <-ended:
@@ -139,8 +140,8 @@
 	case <-ctx.Done():
 	}
 	proc.SetLeaving()
-	service.HandOver()
-	time.Sleep(handOverWait)
+	service.TransferLeadership()
+	time.Sleep(leaderTransferWait)
 	stop()
 	return <-ended
 }
--- a/src/control/matrix_test.go
+++ b/src/control/matrix_test.go
@@ -10,26 +10,26 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// step is a part of an exchange at which a fault may strike.
+// step is a step of an exchange between nodes at which a fault may be injected.
 type step struct {
 	name string
 	// message is the kind of message that carries the step, 0 for a write.
 	message raft.MessageKind
-	// provoke makes the step happen.
+	// provoke triggers the step.
 	provoke func(s *sim)
 }
 
-// faultKind is what strikes.
+// faultKind is a kind of injected fault.
 type faultKind struct {
 	name string
-	// message is what it does to the step's messages, nil for none.
+	// message is the effect on the step's messages, nil for none.
 	message func(s *sim, n int) effect
-	// node is what it does to the process that sends the step, "" for none.
+	// node is the fault of the process that sends the step, "" for none.
 	node string
 }
 
 func electionStep(s *sim) {
-	// Only a new leader's term makes votes: the present one goes.
+	// Votes are sent only when a new leader is needed, so the current one is stopped.
 	if lead := s.leader(); lead != nil {
 		name := nameOf(lead.id)
 		s.kill(name)
@@ -38,13 +38,13 @@
 	}
 }
 
-func appendStep(s *sim) { work(s, 20) }
+func appendStep(s *sim) { generateLoad(s, 20) }
 
 func snapshotStep(s *sim) {
-	// A follower that sleeps through more than a snapshot's worth needs one.
+	// A follower that misses more entries than a snapshot covers is sent a snapshot.
 	name := follower(s)
 	s.kill(name)
-	work(s, 60)
+	generateLoad(s, 60)
 	s.boot(name)
 	s.run(time.Second)
 }
@@ -55,13 +55,13 @@
 	s.wipe(name)
 	s.boot(name)
 	for i := 0; i < 20; i++ {
-		s.tend()
+		s.maintainMembership()
 		s.run(100 * time.Millisecond)
 	}
 }
 
-// steps are the exchanges among control nodes. The vote, append, snapshot and member
-// steps are consensus itself; apply, claim and grant are what callers ask for.
+// steps are the exchanges among control nodes. The vote, append, snapshot and member steps belong
+// to consensus; apply, claim and grant are client requests.
 var steps = []step{
 	{"pre-vote", raft.MsgPreVote, electionStep},
 	{"vote", raft.MsgVote, electionStep},
@@ -95,14 +95,14 @@
 	{name: "a second dies right after the first was repaired", node: "second"},
 }
 
-// frozenFor is longer than a lease and an election.
-const frozenFor = 1800 * time.Millisecond
+// freezeDuration is longer than a lease plus an election.
+const freezeDuration = 1800 * time.Millisecond
 
-// struck bounds the messages that one fault hits.
-const struck = 12
+// maxFaultyMessages limits the number of messages that one fault affects.
+const maxFaultyMessages = 12
 
-// work proposes changes and claims, some of them again, as callers do.
-func work(s *sim, n int) {
+// generateLoad proposes changes and claims, some of them more than once.
+func generateLoad(s *sim, n int) {
 	for i := 0; i < n; i++ {
 		s.change(fmt.Sprint("w", len(s.accepted), i%7), fmt.Sprint("l", i%5))
 		s.claim(fmt.Sprint("k", s.sent%40), fmt.Sprint("t", s.sent))
@@ -127,16 +127,16 @@
 	return ""
 }
 
-// strike arms a fault for the step's first messages.
-func strike(s *sim, st step, f faultKind) {
+// injectFault applies a fault to the step's next messages.
+func injectFault(s *sim, st step, f faultKind) {
 	hits := 0
 	s.effects = func(m raft.Message) effect {
-		if m.Kind != st.message || hits >= struck {
+		if m.Kind != st.message || hits >= maxFaultyMessages {
 			return effect{copies: 1}
 		}
 		hits++
 		if hits == 1 && f.node != "" {
-			strikeNode(s, nameOf(m.From), f.node)
+			injectNodeFault(s, nameOf(m.From), f.node)
 		}
 		if f.message != nil {
 			return f.message(s, hits)
@@ -145,7 +145,8 @@
 	}
 }
 
-func once() func() bool {
+// firstCallOnly returns a function that returns true on its first call only.
+func firstCallOnly() func() bool {
 	done := false
 	return func() bool {
 		first := !done
@@ -154,22 +155,22 @@
 	}
 }
 
-func strikeNode(s *sim, name, how string) {
+func injectNodeFault(s *sim, name, how string) {
 	n := s.nodes[name]
 	switch how {
 	case "before":
-		n.disk.beforeSync = once()
+		n.disk.beforeSync = firstCallOnly()
 	case "after":
-		n.disk.afterSync = once()
+		n.disk.afterSync = firstCallOnly()
 	case "empty", "second":
-		n.disk.beforeSync = once()
+		n.disk.beforeSync = firstCallOnly()
 	case "old":
-		n.old = n.disk.start
-		n.old.Entries = append([]raft.Entry(nil), n.old.Entries...)
+		n.oldDisk = n.disk.start
+		n.oldDisk.Entries = append([]raft.Entry(nil), n.oldDisk.Entries...)
 		s.run(100 * time.Millisecond)
-		n.disk.afterSync = once()
+		n.disk.afterSync = firstCallOnly()
 	case "frozen":
-		n.frozenTo = s.now.Add(frozenFor)
+		n.frozenUntil = s.now.Add(freezeDuration)
 	case "one way":
 		s.isolate(name, false)
 	case "both ways":
@@ -177,24 +178,24 @@
 	case "other":
 		for _, other := range s.names() {
 			if other != name {
-				s.nodes[other].disk.afterSync = once()
+				s.nodes[other].disk.afterSync = firstCallOnly()
 				return
 			}
 		}
 	}
 }
 
-// recoverFrom repairs what a fault left: the dead come back, cuts heal.
+// recoverFrom undoes a fault: network partitions heal and stopped nodes restart.
 func recoverFrom(s *sim, f faultKind) {
 	s.effects = nil
 	s.heal()
-	revive(s, f.node)
+	restartStopped(s, f.node)
 	if f.node != "second" {
 		return
 	}
-	// Repaired means caught up and voting; only then may a second one be lost.
-	if !s.until(30*time.Second, func() bool { s.tend(); return s.settled() }) {
-		s.t.Fatal("the first host was not repaired")
+	// A second disk may be lost only after the first node has caught up and votes again.
+	if !s.until(30*time.Second, func() bool { s.maintainMembership(); return s.converged() }) {
+		s.t.Fatal("the control nodes did not converge after the first disk was lost")
 	}
 	second := nameOf(s.leader().id)
 	s.kill(second)
@@ -203,14 +204,15 @@
 	s.boot(second)
 }
 
-func revive(s *sim, node string) {
+// restartStopped restarts all stopped nodes, with their disks as the node fault requires.
+func restartStopped(s *sim, node string) {
 	for _, name := range s.names() {
 		if s.nodes[name].replica != nil {
 			continue
 		}
 		switch {
-		case node == "old" && s.nodes[name].old.HardState.Term > 0:
-			s.comeBackOld(name)
+		case node == "old" && s.nodes[name].oldDisk.HardState.Term > 0:
+			s.bootOldDisk(name)
 			continue
 		case node == "empty" || node == "second":
 			s.wipe(name)
@@ -219,16 +221,17 @@
 	}
 }
 
-// halts reports whether a cell loses two of three disks before the first is
-// repaired. No quorum remembers what was accepted then: the control nodes must stop
-// accepting rather than guess; a backup brings them back.
-func halts(st step, f faultKind) bool {
+// losesMajority reports whether a cell loses two of three disks before the first is replaced. No
+// quorum then remembers what was accepted, so the control nodes must stop accepting changes until
+// they are restored from a backup.
+func losesMajority(st step, f faultKind) bool {
 	return st.name == "voter change" && (f.node == "empty" || f.node == "second" || f.node == "old")
 }
 
-func cellHalts(s *sim, f faultKind) {
+// checkNothingAccepted checks that no change is accepted once a majority has lost its disks.
+func checkNothingAccepted(s *sim, f faultKind) {
 	s.effects = nil
-	revive(s, "empty")
+	restartStopped(s, "empty")
 	before := len(s.accepted)
 	s.until(20*time.Second, func() bool { s.change("after", "after"); s.run(50 * time.Millisecond); return false })
 	if len(s.accepted) > before {
@@ -236,41 +239,41 @@
 	}
 }
 
-// cell runs one fault at one step and checks every promise afterwards.
-func cell(t testing.TB, seed uint64, st step, f faultKind) {
+// runCell injects one fault at one step and checks all invariants afterwards.
+func runCell(t testing.TB, seed uint64, st step, f faultKind) {
 	s := newSim(t, seed, "k1", "k2", "k3")
 	s.run(2 * time.Second)
-	work(s, 10)
-	strike(s, st, f)
+	generateLoad(s, 10)
+	injectFault(s, st, f)
 	st.provoke(s)
-	// A death around a write needs one.
-	work(s, 2)
+	// A crash around a write needs a write to happen.
+	generateLoad(s, 2)
 	s.run(2 * time.Second)
-	if halts(st, f) {
-		cellHalts(s, f)
+	if losesMajority(st, f) {
+		checkNothingAccepted(s, f)
 		return
 	}
 	recoverFrom(s, f)
-	if !s.until(60*time.Second, func() bool { s.tend(); return s.settled() }) {
-		t.Fatal("the control nodes did not settle")
+	if !s.until(60*time.Second, func() bool { s.maintainMembership(); return s.converged() }) {
+		t.Fatal("the control nodes did not converge")
 	}
 	before := len(s.accepted)
 	if !s.until(10*time.Second, func() bool { s.change("after", "after"); s.run(20 * time.Millisecond); return len(s.accepted) > before }) {
 		t.Fatal("no change is accepted afterwards")
 	}
-	if !s.until(10*time.Second, s.settled) {
-		t.Fatal("the control nodes did not settle after the last change" + s.describe())
+	if !s.until(10*time.Second, s.converged) {
+		t.Fatal("the control nodes did not converge after the last change" + s.describe())
 	}
-	s.check()
+	s.checkFinalState()
 }
 
-// TestMatrix runs every fault at every step.
+// TestMatrix injects every fault at every step.
 func TestMatrix(t *testing.T) {
 	cells := 0
 	for _, st := range steps {
 		for _, f := range faultKinds {
 			cells++
-			t.Run(st.name+"/"+f.name, func(t *testing.T) { cell(t, uint64(cells), st, f) })
+			t.Run(st.name+"/"+f.name, func(t *testing.T) { runCell(t, uint64(cells), st, f) })
 		}
 	}
 	t.Logf("%d cells", cells)
@@ -278,7 +281,7 @@
 
 const faultsPage = "../../docs/FAULTS.md"
 
-// TestMatrixPage keeps the page's table of control nodes' cells equal to what is run.
+// TestMatrixPage checks that the table in docs/FAULTS.md matches the cells that TestMatrix runs.
 func TestMatrixPage(t *testing.T) {
 	page, err := os.ReadFile(faultsPage)
 	if err != nil {
--- a/src/control/members.go
+++ b/src/control/members.go
@@ -11,34 +11,36 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The errors that keep a control node from starting.
+// Errors that prevent a control node from starting.
 var (
-	// ErrRolledBack means that the disk holds less than it once confirmed.
-	ErrRolledBack = errors.New("the data folder is older than what this control node confirmed before; empty it, and the control node will join anew")
-	// ErrFounded means that an empty folder was to found an installation that exists.
-	ErrFounded = errors.New("the installation exists already; start without --found, and the control node will join it")
+	// ErrRolledBack means that the disk is missing entries that this node had acknowledged.
+	ErrRolledBack = errors.New("the data folder is older than the state that this control node has acknowledged; empty the folder and the control node will join again")
+	// ErrInstallationExists means that a node with an empty folder was told to found an
+	// installation that already exists.
+	ErrInstallationExists = errors.New("the installation already exists; start without --found to join it")
 )
 
-// tendEvery is how often a control node looks after the control nodes' membership.
-const tendEvery = 300 * time.Millisecond
+// serviceMembershipInterval is how often a Service checks the membership.
+const serviceMembershipInterval = 300 * time.Millisecond
 
 func (s *Service) members(ctx context.Context, _ *rpc.Peer, request wire.MembersRequest) (wire.MembersReply, error) {
-	lead := s.leading()
+	lead := s.leadership()
 	if !lead.self {
 		reply := wire.MembersReply{Outcome: wire.Unavailable, Reason: "no leader among the control nodes is in reach"}
-		_, err := s.toLeader(ctx, lead.leader, wire.MethodMembers, request, &reply)
+		_, err := s.callLeader(ctx, lead.leader, wire.MethodMembers, request, &reply)
 		return reply, err
 	}
 	var next raft.Members
-	s.node.Do(func(time.Time) { next = wanted(s.node.replica.core.Members(), request) })
-	return s.changeMembers(ctx, next), nil
+	s.node.Do(func(time.Time) { next = membersAfter(s.node.replica.core.Members(), request) })
+	return s.proposeMembers(ctx, next), nil
 }
 
-func wanted(members raft.Members, request wire.MembersRequest) raft.Members {
+// membersAfter returns the membership after a request has been applied to it.
+func membersAfter(members raft.Members, request wire.MembersRequest) raft.Members {
 	if id := request.AddLearner; id != "" && !members.IsVoter(id) {
 		for _, other := range members.Learners {
 			if nameOf(other) == nameOf(id) {
-				// A learner whose folder was replaced once more before it caught up.
+				// This learner's folder was replaced again before it caught up.
 				members = members.Without(other)
 			}
 		}
@@ -53,7 +55,7 @@
 	return members
 }
 
-func (s *Service) changeMembers(ctx context.Context, next raft.Members) wire.MembersReply {
+func (s *Service) proposeMembers(ctx context.Context, next raft.Members) wire.MembersReply {
 	applied, err := s.node.await(ctx, func(now time.Time, done func(result, error)) {
 		s.node.replica.ProposeMembers(now, next, done)
 	})
@@ -77,9 +79,8 @@
 	return reply, nil
 }
 
-// CheckDisk asks the other control nodes, before this one takes part, whether its
-// disk still holds what it once confirmed. Peers that don't answer within the
-// context's time can't object.
+// CheckDisk asks the other control nodes, before this one takes part, whether its disk still holds
+// every entry it has acknowledged. Peers that do not reply before the context ends are ignored.
 func (s *Service) CheckDisk(ctx context.Context, id raft.ID, last uint64, fresh bool) error {
 	for _, client := range s.clients {
 		var reply wire.HeldReply
@@ -87,20 +88,20 @@
 			continue
 		}
 		if fresh && reply.Started {
-			return ErrFounded
+			return ErrInstallationExists
 		}
 		if reply.Known && reply.Index > last {
-			return errors.Wrapf(ErrRolledBack, "it holds entry %d, it confirmed %d", last, reply.Index)
+			return errors.Wrapf(ErrRolledBack, "the disk ends at entry %d, but entry %d was acknowledged", last, reply.Index)
 		}
 	}
 	return nil
 }
 
-// Tend looks after the control nodes' membership until the context ends: a control node
-// with a new folder asks to join, and the leader lets it take its old place
-// once it has caught up.
-func (s *Service) Tend(ctx context.Context) {
-	ticker := time.NewTicker(tendEvery)
+// MaintainMembership maintains the membership until the context ends. A control node with a new
+// data folder asks to join, and the leader lets it replace its previous identity once it has caught
+// up.
+func (s *Service) MaintainMembership(ctx context.Context) {
+	ticker := time.NewTicker(serviceMembershipInterval)
 	defer ticker.Stop()
 	var reported time.Time
 	for {
@@ -109,21 +110,21 @@
 			return
 		case <-ticker.C:
 		}
-		s.tendOnce(ctx)
-		if now := s.now(); now.Sub(reported) >= reportEvery {
+		s.maintainOnce(ctx)
+		if now := s.now(); now.Sub(reported) >= seenReportInterval {
 			reported = now
 			s.reportSeen(ctx)
 		}
 	}
 }
 
-func (s *Service) tendOnce(ctx context.Context) {
+func (s *Service) maintainOnce(ctx context.Context) {
 	var next *raft.Members
 	var join raft.ID
 	s.node.Do(func(now time.Time) {
 		core := s.node.replica.core
 		if core.Role() != raft.Leader {
-			s.ledSeen = now
+			s.notLeadingAt = now
 			if members := core.Members(); !members.IsVoter(core.ID()) && !members.IsLearner(core.ID()) {
 				join = core.ID()
 			}
@@ -132,15 +133,15 @@
 		next = nextMembers(core)
 	})
 	if join != "" {
-		s.askToJoin(ctx, join)
+		s.requestJoin(ctx, join)
 	}
 	if next != nil {
-		s.changeMembers(ctx, *next)
+		s.proposeMembers(ctx, *next)
 	}
 }
 
-// nextMembers returns the next single step towards a membership in which
-// caught-up learners have taken the places of the control nodes they replace.
+// nextMembers returns the next single membership change towards replacing voters by caught-up
+// learners of the same name, nil if there is none.
 func nextMembers(core *raft.Core) *raft.Members {
 	members := core.Members()
 	for _, learner := range members.Learners {
@@ -159,8 +160,8 @@
 	return nil
 }
 
-func (s *Service) askToJoin(ctx context.Context, id raft.ID) {
-	ctx, cancel := context.WithTimeout(ctx, silenceLimit)
+func (s *Service) requestJoin(ctx context.Context, id raft.ID) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	for _, client := range s.clients {
 		var reply wire.MembersReply
@@ -172,18 +173,18 @@
 }
 
 func (s *Service) reportSeen(ctx context.Context) {
-	lead := s.leading()
-	names := s.nodes.fresh(s.now())
+	lead := s.leadership()
+	names := s.nodes.recentNames(s.now())
 	client := s.clients[lead.leader]
 	if lead.self || client == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, silenceLimit)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	_ = client.Notify(ctx, wire.MethodSeen, wire.SeenReport{Nodes: names})
 }
 
-// HandOver gives leadership to another control node before a planned stop.
-func (s *Service) HandOver() {
+// TransferLeadership transfers leadership to another control node before a planned stop.
+func (s *Service) TransferLeadership() {
 	s.node.Do(func(now time.Time) { s.node.replica.core.Transfer(now) })
 }
--- a/src/control/membership.go
+++ b/src/control/membership.go
@@ -8,11 +8,10 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Tend looks after the membership until the context ends: a node that is no
-// member asks to become a learner, and the leader lets caught-up learners take
-// the places of voters that are gone.
+// Tend maintains the membership until the context ends. A node that is not a member asks to become
+// a learner, and the leader lets caught-up learners replace failed voters.
 func (c *Cluster) Tend(ctx context.Context) {
-	ticker := time.NewTicker(tendMembersEvery)
+	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -20,47 +19,47 @@
 			return
 		case <-ticker.C:
 		}
-		c.tendOnce(ctx)
+		c.maintainOnce(ctx)
 	}
 }
 
-func (c *Cluster) tendOnce(ctx context.Context) {
+func (c *Cluster) maintainOnce(ctx context.Context) {
 	var next *raft.Members
 	var quorum Quorum
 	c.node.Do(func(now time.Time) {
 		quorum = quorumOf(c.node.replica, now)
-		c.noteLeader(now, quorum.LeaderKnown)
+		c.recordLeader(now, quorum.LeaderKnown)
 		if quorum.Leading {
 			next = nextVoters(c.node.replica.core, now, c.options.Voters)
 		}
 	})
-	c.noteQuorum(quorum)
+	c.logQuorumChange(quorum)
 	if next != nil {
 		c.proposeMembers(ctx, *next)
 	}
-	if !quorum.Leading && c.alone(c.now()) {
-		c.askToJoin(ctx)
+	if !quorum.Leading && c.leaderMissing(c.now()) {
+		c.requestJoin(ctx)
 	}
 }
 
-func (c *Cluster) noteLeader(now time.Time, known bool) {
+func (c *Cluster) recordLeader(now time.Time, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known {
-		c.leaderAt = now
+		c.leaderKnownAt = now
 	}
 }
 
-// alone reports whether no leader was known for so long that this node may
-// have been replaced.
-func (c *Cluster) alone(now time.Time) bool {
+// leaderMissing reports whether no leader has been known for so long that this node may have been
+// removed from the membership.
+func (c *Cluster) leaderMissing(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.leaderAt) > lonely
+	return now.Sub(c.leaderKnownAt) > rejoinAfter
 }
 
-// nextVoters returns the next single step towards the wanted number of live voters, then
-// towards learners that are heard; nil if there is none to take.
+// nextVoters returns the next single membership change: towards the target number of live voters
+// first, then towards removing learners that are out of contact. It returns nil if there is none.
 func nextVoters(core *raft.Core, now time.Time, wanted int) *raft.Members {
 	members := core.Members()
 	for _, learner := range caughtUp(core, now) {
@@ -68,13 +67,13 @@
 			next := members.WithVoter(learner)
 			return &next
 		}
-		if gone := goneVoter(core, now, learner); gone != "" {
-			next := members.Without(gone)
+		if failed := replaceableVoter(core, now, learner); failed != "" {
+			next := members.Without(failed)
 			return &next
 		}
 	}
 	for _, id := range members.Learners {
-		if now.Sub(lastContact(core, id)) >= learnerSilence {
+		if now.Sub(lastContact(core, id)) >= learnerRemoveAfter {
 			next := members.Without(id)
 			return &next
 		}
@@ -82,34 +81,35 @@
 	return nil
 }
 
-// caughtUp returns the learners that hold all that is committed and are in contact.
+// caughtUp returns the learners that hold every committed entry and are in contact.
 func caughtUp(core *raft.Core, now time.Time) []raft.ID {
 	var ready []raft.ID
 	for _, id := range core.Members().Learners {
-		if core.Match(id) >= core.Commit() && now.Sub(core.Contact(id)) < voterContact {
+		if core.Match(id) >= core.Commit() && now.Sub(core.Contact(id)) < contactTimeout {
 			ready = append(ready, id)
 		}
 	}
 	return ready
 }
 
-// goneVoter returns the voter whose place the learner may take, "" if there is none: the
-// one whose machine came back without its disk as this learner, else the one silent
-// longest, if long enough. The voters that are heard must decide without it too.
-func goneVoter(core *raft.Core, now time.Time, learner raft.ID) raft.ID {
+// replaceableVoter returns the voter that the learner may replace, "" if there is none. It prefers
+// the previous identity of the learner's own host, whose disk was lost, and otherwise picks the
+// voter out of contact the longest, if that is long enough. The remaining voters that are in
+// contact must form a majority without it.
+func replaceableVoter(core *raft.Core, now time.Time, learner raft.ID) raft.ID {
 	for _, id := range core.Members().Voters {
-		if nameOf(id) == nameOf(learner) && spared(core, now, id) {
+		if nameOf(id) == nameOf(learner) && quorumWithout(core, now, id) {
 			return id
 		}
 	}
-	gone := longestSilent(core, now)
-	if gone == "" || now.Sub(lastContact(core, gone)) < voterSilence || !spared(core, now, gone) {
+	silent := longestSilent(core, now)
+	if silent == "" || now.Sub(lastContact(core, silent)) < voterReplaceAfter || !quorumWithout(core, now, silent) {
 		return ""
 	}
-	return gone
+	return silent
 }
 
-// longestSilent returns the silent voter that was heard least lately, "" if all are heard.
+// longestSilent returns the voter that has been out of contact the longest, "" if there is none.
 func longestSilent(core *raft.Core, now time.Time) raft.ID {
 	var longest raft.ID
 	for _, id := range silentVoters(core, now) {
@@ -120,8 +120,9 @@
 	return longest
 }
 
-// spared reports whether the voters that are heard decide among those left without one.
-func spared(core *raft.Core, now time.Time, without raft.ID) bool {
+// quorumWithout reports whether the voters in contact form a quorum of the membership without the
+// given voter.
+func quorumWithout(core *raft.Core, now time.Time, without raft.ID) bool {
 	left := core.Members().Without(without)
 	heard := len(left.Voters)
 	for _, id := range silentVoters(core, now) {
--- a/src/control/node.go
+++ b/src/control/node.go
@@ -13,59 +13,61 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The loop's bounds.
+// Limits and intervals of the event loop.
 const (
-	inboxSize  = 4096
-	batchLimit = 1024
-	// tickEvery is how often the core is shown the time.
-	tickEvery = 20 * time.Millisecond
-	// proposeTimeout is how long a caller that names no time of its own waits for a quorum before
-	// it is told unknown.
+	queueSize = 4096
+	maxBatch  = 1024
+	// tickInterval is how often the consensus core's clock is advanced.
+	tickInterval = 20 * time.Millisecond
+	// proposeTimeout is how long a caller without a deadline waits for a quorum before the outcome
+	// of its proposal is reported as unknown.
 	proposeTimeout = 3 * time.Second
 )
 
-// Node runs a replica in one goroutine and gives others safe access to it.
+// Node runs a replica in a single event loop goroutine and gives other goroutines safe access to
+// it.
 type Node struct {
 	replica *Replica
 	send    func(raft.Message)
 	ring    *event.Ring
 	now     func() time.Time
 
-	inbox  chan arrival[raft.Message]
-	work   chan arrival[func(now time.Time)]
+	inbox  chan queued[raft.Message]
+	calls  chan queued[func(now time.Time)]
 	writer *writer
+	// ended is closed when Run returns.
 	ended  chan struct{}
 	delays delayMeter
-	// slowest is the longest write since writes were logged as slow ones, 0 if they are not slow.
-	slowest time.Duration
-	// view is published before the messages of the same turn leave: nobody may be told that
-	// this node is sure of something after it has let another one lead.
+	// slowestWrite is the longest write since writes became slow, 0 while they are not slow.
+	slowestWrite time.Duration
+	// view is published before the messages of the same loop iteration are sent: no reader may see
+	// this node hold a read lease after it has let another node lead.
 	view atomic.Pointer[view]
 
 	mu      sync.Mutex
 	changed chan struct{}
-	seen    uint64
-	// seenVersion and seenDrains are the revisions of the document and of the drained zones when
-	// subscribers were last woken.
-	seenVersion uint64
-	seenDrains  uint64
+	// The revisions of the configuration, the document and the drained zones when subscribers were
+	// last notified.
+	announcedIndex   uint64
+	announcedVersion uint64
+	announcedDrains  uint64
 }
 
-// arrival is something for the loop with when it came.
-type arrival[T any] struct {
+// queued is an item for the event loop with its arrival time.
+type queued[T any] struct {
 	at   time.Time
 	item T
 }
 
-// NewNode returns a node around a replica; send must not block.
+// NewNode returns a node that runs a replica; send must not block.
 func NewNode(replica *Replica, send func(raft.Message), ring *event.Ring, now func() time.Time) *Node {
 	n := &Node{
 		replica: replica,
 		send:    send,
 		ring:    ring,
 		now:     now,
-		inbox:   make(chan arrival[raft.Message], inboxSize),
-		work:    make(chan arrival[func(time.Time)], inboxSize),
+		inbox:   make(chan queued[raft.Message], queueSize),
+		calls:   make(chan queued[func(time.Time)], queueSize),
 		writer:  newWriter(replica.disk, now),
 		ended:   make(chan struct{}),
 		changed: make(chan struct{}),
@@ -75,90 +77,90 @@
 	return n
 }
 
-// publish makes what the replica knows now the node's view.
+// publish makes the replica's current state the node's view.
 func (n *Node) publish() { n.view.Store(viewOf(n.replica, n.now())) }
 
-// known returns what the node knew after its last turn.
-func (n *Node) known() *view { return n.view.Load() }
+// currentView returns the view published by the last loop iteration.
+func (n *Node) currentView() *view { return n.view.Load() }
 
-// Run drives the replica until the context ends or its disk fails. It returns once no write is
-// under way any more.
+// Run runs the event loop until the context ends or the disk fails. It returns after the write in
+// progress, if any, has finished.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.ended)
 	go n.writer.run()
 	defer n.writer.stop()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		var wait time.Duration
-		var done *written
+		var finished *finishedWrite
 		select {
 		case <-ctx.Done():
 			return nil
 		case m := <-n.inbox:
 			wait = n.step(m)
-		case question := <-n.work:
-			wait = n.answer(question)
+		case call := <-n.calls:
+			wait = n.runCall(call)
 		case w := <-n.writer.ended:
-			done = &w
+			finished = &w
 		case <-ticker.C:
 		}
 		began := n.now()
-		wait = max(wait, n.drain())
-		if err := n.turn(done); err != nil {
+		wait = max(wait, n.drainQueues())
+		if err := n.iterate(finished); err != nil {
 			n.ring.Add(event.Event{Kind: event.StorageFailed, Reason: err.Error()})
 			return err
 		}
-		n.noteDelays(Delays{Wait: wait, Step: n.now().Sub(began)})
+		n.recordDelays(Delays{Wait: wait, Step: n.now().Sub(began)})
 	}
 }
 
-// turn takes in the end of a write, lets time pass and does what is to be done.
-func (n *Node) turn(done *written) error {
+// iterate handles a finished write, if any, advances the core's clock and does all pending work.
+func (n *Node) iterate(finished *finishedWrite) error {
 	now := n.now()
-	if done != nil {
-		if err := n.written(now, *done); err != nil {
+	if finished != nil {
+		if err := n.finishedWrite(now, *finished); err != nil {
 			return err
 		}
 	}
-	n.noteSlowWrite(now)
+	n.logSlowWrite(now)
 	n.replica.core.Tick(now)
 	return n.advance(now)
 }
 
-// written takes in the end of a write.
-func (n *Node) written(now time.Time, done written) error {
-	if done.err != nil {
-		return done.err
+// finishedWrite handles the end of a write.
+func (n *Node) finishedWrite(now time.Time, finished finishedWrite) error {
+	if finished.err != nil {
+		return finished.err
 	}
-	n.noteWrite(now, done.took)
-	return n.replica.Written(now, done.write)
+	n.recordWrite(now, finished.took)
+	return n.replica.Written(now, finished.write)
 }
 
-// step takes in a message and returns how long it waited.
-func (n *Node) step(m arrival[raft.Message]) time.Duration {
+// step handles a consensus message and returns how long it was queued.
+func (n *Node) step(m queued[raft.Message]) time.Duration {
 	now := n.now()
 	n.replica.core.Step(now, m.item)
 	return now.Sub(m.at)
 }
 
-// answer runs a question and returns how long it waited.
-func (n *Node) answer(question arrival[func(time.Time)]) time.Duration {
+// runCall runs a queued call and returns how long it was queued.
+func (n *Node) runCall(call queued[func(time.Time)]) time.Duration {
 	now := n.now()
-	question.item(now)
-	return now.Sub(question.at)
+	call.item(now)
+	return now.Sub(call.at)
 }
 
-// drain takes what else is waiting, so that one sync covers all of it, and returns the
-// longest wait.
-func (n *Node) drain() time.Duration {
+// drainQueues handles everything else that is queued, so that one sync covers all of it, and
+// returns the longest time an item was queued.
+func (n *Node) drainQueues() time.Duration {
 	var longest time.Duration
-	for i := 0; i < batchLimit; i++ {
+	for i := 0; i < maxBatch; i++ {
 		select {
 		case m := <-n.inbox:
 			longest = max(longest, n.step(m))
-		case question := <-n.work:
-			longest = max(longest, n.answer(question))
+		case call := <-n.calls:
+			longest = max(longest, n.runCall(call))
 		default:
 			return longest
 		}
@@ -166,96 +168,96 @@
 	return longest
 }
 
-// noteDelays keeps the longest delays, and logs long ones.
-func (n *Node) noteDelays(d Delays) {
-	n.delays.note(n.now(), d)
-	if d.Wait < slowLoop && d.Step < slowLoop {
+// recordDelays records the delays of a loop iteration and logs long ones.
+func (n *Node) recordDelays(d Delays) {
+	n.delays.record(n.now(), d)
+	if d.Wait < slowLoopThreshold && d.Step < slowLoopThreshold {
 		return
 	}
 	n.ring.Add(event.Event{Kind: event.AgreementDelayed, Reason: "waited " + d.Wait.String() + ", took " + d.Step.String()})
 }
 
-// Delays returns the longest delays of the loop and of the disk lately.
+// Delays returns the longest recent delays of the event loop and the disk.
 func (n *Node) Delays() Delays {
 	now := n.now()
 	longest := n.delays.longest(now)
-	if began := n.known().writeBegan; !began.IsZero() {
+	if began := n.currentView().writeBegan; !began.IsZero() {
 		longest.Write = max(longest.Write, now.Sub(began))
 	}
 	return longest
 }
 
-// noteSlowWrite logs that writes take long, once until they are fast again.
-func (n *Node) noteSlowWrite(now time.Time) {
+// logSlowWrite logs that a write is slow, once until writes are fast again.
+func (n *Node) logSlowWrite(now time.Time) {
 	age := n.replica.core.WriteAge(now)
-	if age < slowWrite {
+	if age < slowWriteThreshold {
 		return
 	}
-	if n.slowest == 0 {
+	if n.slowestWrite == 0 {
 		n.ring.Add(event.Event{Kind: event.DiskSlow, Reason: "a write has been under way for " + age.String()})
 	}
-	n.slowest = max(n.slowest, age)
+	n.slowestWrite = max(n.slowestWrite, age)
 }
 
-// noteWrite takes in how long a write took; the first one that is no longer slow is logged.
-func (n *Node) noteWrite(now time.Time, took time.Duration) {
-	n.delays.note(now, Delays{Write: took})
-	if n.slowest > 0 && took < slowWrite {
-		n.ring.Add(event.Event{Kind: event.DiskRecovered, Reason: "a write took " + took.String() + ", the longest before " + n.slowest.String()})
-		n.slowest = 0
+// recordWrite records how long a write took and logs the first fast one after slow ones.
+func (n *Node) recordWrite(now time.Time, took time.Duration) {
+	n.delays.record(now, Delays{Write: took})
+	if n.slowestWrite > 0 && took < slowWriteThreshold {
+		n.ring.Add(event.Event{Kind: event.DiskRecovered, Reason: "a write took " + took.String() + ", the longest before " + n.slowestWrite.String()})
+		n.slowestWrite = 0
 	}
 }
 
-// advance begins the next write, sends what may be sent and tells what was applied.
+// advance starts the next write, sends the messages that are ready and notifies subscribers.
 func (n *Node) advance(now time.Time) error {
 	messages, next, err := n.replica.Advance(now)
 	if err != nil {
 		return err
 	}
 	if next != nil {
-		n.writer.begun <- next
+		n.writer.pending <- next
 	}
 	n.publish()
 	for _, m := range messages {
 		n.send(m)
 	}
-	n.announce()
+	n.notifySubscribers()
 	return nil
 }
 
-// announce wakes subscribers when the configuration has moved.
-func (n *Node) announce() {
+// notifySubscribers wakes subscribers if the configuration or the drained zones have changed.
+func (n *Node) notifySubscribers() {
 	index := n.replica.state.Set().Revision().Index
 	version := n.replica.state.document.Version
 	drains := n.replica.state.drains.Revision
-	if index == n.seen && version == n.seenVersion && drains == n.seenDrains {
+	if index == n.announcedIndex && version == n.announcedVersion && drains == n.announcedDrains {
 		return
 	}
-	n.seen = index
-	n.seenVersion = version
-	n.seenDrains = drains
+	n.announcedIndex = index
+	n.announcedVersion = version
+	n.announcedDrains = drains
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed when the configuration next moves.
+// Changed returns a channel that is closed when the configuration or the drained zones next change.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// Deliver takes in a message from another control node; when it is flooded the message is lost.
+// Deliver queues a message from another control node. The message is dropped if the queue is full.
 func (n *Node) Deliver(m raft.Message) {
 	select {
-	case n.inbox <- arrival[raft.Message]{at: n.now(), item: m}:
+	case n.inbox <- queued[raft.Message]{at: n.now(), item: m}:
 	default:
 	}
 }
 
-// Do runs f in the node's goroutine and waits for it; it returns false if the node has ended.
+// Do runs f in the event loop and waits for it. It returns false if the node has stopped.
 func (n *Node) Do(f func(now time.Time)) bool {
 	done := make(chan struct{})
 	run := func(now time.Time) {
@@ -263,7 +265,7 @@
 		close(done)
 	}
 	select {
-	case n.work <- arrival[func(time.Time)]{at: n.now(), item: run}:
+	case n.calls <- queued[func(time.Time)]{at: n.now(), item: run}:
 	case <-n.ended:
 		return false
 	}
@@ -275,19 +277,19 @@
 	}
 }
 
-// outcome is a result on its way to the caller.
+// outcome carries the result of a proposal to its caller.
 type outcome struct {
 	result result
 	err    error
 }
 
-// propose hands a command to consensus and waits for its result. The outcome
-// is unknown when the wait ends before that.
+// propose proposes a command and waits for its result. If the wait ends first, the outcome is
+// unknown.
 func (n *Node) propose(ctx context.Context, cmd command) (result, error) {
 	return n.proposeOnce(ctx, cmd, proposalKey{})
 }
 
-// proposeOnce is propose for a command of which copies may come, told by their key.
+// proposeOnce proposes a command that callers may resend; copies are recognized by their key.
 func (n *Node) proposeOnce(ctx context.Context, cmd command, key proposalKey) (result, error) {
 	data, err := cmd.encode()
 	if err != nil {
@@ -298,11 +300,11 @@
 	})
 }
 
-// proposeSettled hands a command to consensus and returns its result once it is settled: a
-// majority's disks hold not only the entry but also that it is committed. A disk learns that
-// with the next entry, so an empty one follows each accepted command. Without it all control
-// nodes that come back after a loss of power apply the state before the command until a
-// leader is elected, and nothing bounds how long that takes.
+// proposeSettled proposes a command and returns its result once it is settled, that is once a
+// majority has durably stored not only the entry but also a commit index that covers it. A commit
+// index is stored with the next entry, so each accepted command is followed by an empty one.
+// Without it, all control nodes that restart after a power loss would apply the state before the
+// command until a leader is elected, which may take arbitrarily long.
 func (n *Node) proposeSettled(ctx context.Context, cmd command, key proposalKey) (result, error) {
 	applied, err := n.proposeOnce(ctx, cmd, key)
 	if err != nil || applied.outcome != wire.Accepted {
@@ -311,11 +313,12 @@
 	return n.settle(ctx, applied, func(settled uint64) bool { return applied.index <= settled }), nil
 }
 
-// settle returns the result of a command once it is settled: at once if covered says so of all that
-// is settled already, else by an entry that settles it. The outcome is unknown if that is not certain.
-func (n *Node) settle(ctx context.Context, applied result, covered func(settled uint64) bool) result {
-	followed, err := n.await(ctx, func(now time.Time, done func(result, error)) {
-		if settled := n.replica.core.Settled(); settled > 0 && covered(settled) {
+// settle returns the result of an applied command once it is settled. It returns at once if
+// isSettled reports that the entries settled so far include it, and otherwise waits for an entry
+// that settles it. If that can't be confirmed, the outcome is unknown.
+func (n *Node) settle(ctx context.Context, applied result, isSettled func(settled uint64) bool) result {
+	settling, err := n.await(ctx, func(now time.Time, done func(result, error)) {
+		if settled := n.replica.core.Settled(); settled > 0 && isSettled(settled) {
 			done(result{outcome: wire.Accepted}, nil)
 			return
 		}
@@ -325,35 +328,37 @@
 		}
 		n.replica.proposeSettling(now, index, done)
 	})
-	if err != nil || followed.outcome != wire.Accepted {
+	if err != nil || settling.outcome != wire.Accepted {
 		return result{outcome: wire.Unknown, reason: "applied, but a majority may not know that it is committed"}
 	}
 	return applied
 }
 
+// await runs start in the event loop and waits until it calls done, the context ends or the node
+// stops.
 func (n *Node) await(ctx context.Context, start func(now time.Time, done func(result, error))) (result, error) {
 	outcomes := make(chan outcome, 1)
 	run := func(now time.Time) {
 		start(now, func(r result, err error) { outcomes <- outcome{r, err} })
 	}
 	select {
-	case n.work <- arrival[func(time.Time)]{at: n.now(), item: run}:
+	case n.calls <- queued[func(time.Time)]{at: n.now(), item: run}:
 	case <-n.ended:
 		return result{}, raft.ErrNotLeader
 	}
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if _, bounded := ctx.Deadline(); !bounded {
 		timer := time.NewTimer(proposeTimeout)
 		defer timer.Stop()
-		late = timer.C
+		timeout = timer.C
 	}
 	select {
 	case o := <-outcomes:
-		if errors.Is(o.err, errOvertaken) {
+		if errors.Is(o.err, errOverwritten) {
 			return result{outcome: wire.Unavailable, reason: o.err.Error()}, nil
 		}
 		return o.result, o.err
-	case <-late:
+	case <-timeout:
 	case <-ctx.Done():
 	case <-n.ended:
 	}
--- a/src/control/power_test.go
+++ b/src/control/power_test.go
@@ -15,32 +15,27 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// What users saw: after all power had been lost, requests were handled by the configuration
-// before the one that had been acknowledged last, for as long as no leader was elected.
-//
-// Order of events: a configuration is committed and acknowledged; the disks hold its entry,
-// but not yet that it is committed, since a commit index is written with the next entries;
-// all power is lost; each control node comes back and applies what its disk knows to be
-// committed, which is the configuration before; gateways follow it.
-//
-// Evidence: with the nodes kept apart, so that none can be elected, all three apply version
-// 5 after version 6 was acknowledged.
+// A commit index is stored with the next entries, so the disks may hold an acknowledged
+// configuration without knowing that it is committed. If all nodes then lose power, each restarted
+// node applies the previous configuration, and gateways follow it, until a leader is elected. With
+// all nodes isolated after such a power loss, all three applied version 5 after version 6 had been
+// acknowledged.
 func TestWhatWasAcknowledgedIsInForceAfterALossOfPowerWithoutALeader(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	tc.put(tc.nodes[tc.seeds[0]], 6, "six")
-	is.True(tc.knowAlone(6) >= 2) // a majority: two lost disks of five leave one that knows
+	is.True(tc.countAppliedAfterPowerLoss(6) >= 2) // a majority: after the loss of two disks of five, one that knows remains
 }
 
-// TestAChangeSentAgainIsAcknowledgedAsSurely: its first answer was lost; the second one
-// promises as much.
-func TestAChangeSentAgainIsAcknowledgedAsSurely(t *testing.T) {
+// A change that is sent again because its first reply was lost must be settled before it is
+// acknowledged, like the first one.
+func TestResentChangeIsSettledWhenAcknowledged(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	first := tc.nodes[tc.seeds[0]]
 	tc.put(first, 5, "five")
-	tc.eventually("the configuration is in the log without an answer", func() bool {
+	tc.eventually("the configuration is applied without an acknowledgement", func() bool {
 		for _, n := range tc.nodes {
 			if !n.cluster.Leadership().Self {
 				continue
@@ -51,15 +46,15 @@
 		return false
 	})
 	tc.put(first, 6, "six")
-	is.True(tc.knowAlone(6) >= 2)
+	is.True(tc.countAppliedAfterPowerLoss(6) >= 2)
 }
 
-// knowAlone takes the power from all nodes, starts each by itself and returns how many have
-// applied a version though no leader can be elected.
-func (tc *testCluster) knowAlone(version uint64) int {
+// countAppliedAfterPowerLoss stops all nodes, restarts each in isolation and returns how many have
+// applied a version without a leader.
+func (tc *testCluster) countAppliedAfterPowerLoss(version uint64) int {
 	tc.t.Helper()
 	know := 0
-	tc.eachAlone(func(n *clusterNode) {
+	tc.restartEachAlone(func(n *clusterNode) {
 		if n.cluster.Version() >= version {
 			know++
 		}
@@ -67,35 +62,35 @@
 	return know
 }
 
-// eachAlone takes the power from all nodes and shows each to see, started by itself on the folder
-// that it had, once it has applied what its disk knows to be committed. That may be nothing at a
-// node that lagged behind the majority.
-func (tc *testCluster) eachAlone(see func(n *clusterNode)) {
+// restartEachAlone stops all nodes, then restarts each in isolation on its previous folder and
+// passes it to inspect once it has applied everything that its disk knows to be committed. A node
+// that lagged behind the majority may have applied nothing.
+func (tc *testCluster) restartEachAlone(inspect func(n *clusterNode)) {
 	tc.t.Helper()
 	for _, seed := range tc.seeds {
 		tc.nodes[seed].kill()
 	}
 	for _, seed := range tc.seeds {
 		n := tc.start(seed, tc.nodes[seed].folder, false)
-		tc.eventually("it has applied what it knew to be committed", func() bool {
+		tc.eventually("it has applied everything its disk knows to be committed", func() bool {
 			var applied uint64
 			n.node.Do(func(time.Time) { applied = n.node.replica.applied })
 			return applied >= n.committed
 		})
-		see(n)
+		inspect(n)
 		if n.cluster.Leadership().Self {
-			tc.t.Fatal("a node was elected alone")
+			tc.t.Fatal("an isolated node was elected")
 		}
 		n.kill()
 	}
 	tc.nodes = map[string]*clusterNode{}
 }
 
-// TestTheProductsOwnChangesAreKnownAfterALossOfPowerToo: its control nodes acknowledged in
-// the same way, and each restarted one handed out the configuration before.
-func TestTheProductsOwnChangesAreKnownAfterALossOfPowerToo(t *testing.T) {
+// The changes that a Service acknowledges must also be known after a power loss; its control nodes,
+// too, used to serve the previous configuration after a restart.
+func TestServiceChangesAreKnownAfterPowerLoss(t *testing.T) {
 	is := is.New(t)
-	nodes, disks, stop := ownNodes(t)
+	nodes, disks, stop := runServiceNodes(t)
 	change := config.Change{ID: "c", Put: []config.Object{{
 		Key: config.Key{Kind: config.KindModel, Name: "m"}, Model: &config.Model{Memory: 1, Version: "1"},
 	}}}
@@ -116,15 +111,16 @@
 		is.NoErr(err)
 		_, err = alone.Flush(time.Now())
 		is.NoErr(err)
-		if _, again := alone.State().Answered("c"); again {
+		if _, again := alone.State().AcceptedRevision("c"); again {
 			know++
 		}
 	}
 	is.True(know >= 2)
 }
 
-// ownNodes runs three nodes whose messages go from one to the other at once; stop ends them.
-func ownNodes(t *testing.T) (map[raft.ID]*Node, map[raft.ID]*simDisk, func()) {
+// runServiceNodes runs three nodes that exchange messages without delay; the returned function
+// stops them.
+func runServiceNodes(t *testing.T) (map[raft.ID]*Node, map[raft.ID]*simDisk, func()) {
 	t.Helper()
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}}
 	nodes, disks := map[raft.ID]*Node{}, map[raft.ID]*simDisk{}
--- a/src/control/promises_test.go
+++ b/src/control/promises_test.go
@@ -6,14 +6,15 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// promises holds what control nodes have told one another, and fails as soon as a disk does not hold
-// it, two nodes trust a lease at once, or a configuration goes back.
-type promises struct {
-	// votes are the candidates that nodes voted for, by voter and term.
+// invariants records what control nodes have told each other. It fails the test as soon as a disk
+// does not hold what its node has told, two nodes trust their leases at once, or a node goes back
+// to an older configuration.
+type invariants struct {
+	// votes maps each voter and term to the candidate voted for.
 	votes map[vote]raft.ID
-	// commits are how far each leader's commit was checked, by its term.
+	// commits is the commit index up to which each term's leader has been checked.
 	commits map[uint64]uint64
-	// versions are the newest configurations that each process has applied.
+	// versions is the newest configuration version that each process has applied.
 	versions map[*Replica]uint64
 }
 
@@ -22,32 +23,32 @@
 	term  uint64
 }
 
-func newPromises() promises {
-	return promises{votes: map[vote]raft.ID{}, commits: map[uint64]uint64{}, versions: map[*Replica]uint64{}}
+func newInvariants() invariants {
+	return invariants{votes: map[vote]raft.ID{}, commits: map[uint64]uint64{}, versions: map[*Replica]uint64{}}
 }
 
-// told checks a message as it leaves a node: a vote, a term and the acceptance of entries are told
-// only once the node's disk holds them.
-func (p *promises) told(s *sim, n *simNode, m raft.Message) {
+// sent checks a message that a node sends. Votes, terms and accepted entries must be on the node's
+// disk before they are sent.
+func (p *invariants) sent(s *sim, n *simNode, m raft.Message) {
 	held := n.disk.start
 	switch {
 	case m.Kind == raft.MsgVote:
-		p.voted(s, n, m.Term, n.id)
+		p.checkVote(s, n, m.Term, n.id)
 	case m.Kind == raft.MsgVoteReply && !m.Reject:
-		p.voted(s, n, m.Term, m.To)
+		p.checkVote(s, n, m.Term, m.To)
 	case m.Kind == raft.MsgAppendReply && !m.Reject && m.Index > held.LastIndex():
 		s.t.Fatalf("%s accepts entry %d, its disk holds %d", n.id, m.Index, held.LastIndex())
 	}
-	told := m.Term
+	sent := m.Term
 	if m.Kind == raft.MsgPreVote || m.Kind == raft.MsgPreVoteReply {
-		told = 0
+		sent = 0
 	}
-	if told > held.HardState.Term {
-		s.t.Fatalf("%s tells term %d in a %s, its disk holds %d", n.id, told, m.Kind, held.HardState.Term)
+	if sent > held.HardState.Term {
+		s.t.Fatalf("%s sends term %d in a %s, its disk holds %d", n.id, sent, m.Kind, held.HardState.Term)
 	}
 }
 
-func (p *promises) voted(s *sim, n *simNode, term uint64, candidate raft.ID) {
+func (p *invariants) checkVote(s *sim, n *simNode, term uint64, candidate raft.ID) {
 	if state := n.disk.start.HardState; state.Term < term || state.Term == term && state.Vote != candidate {
 		s.t.Fatalf("%s votes for %s in term %d, its disk holds %q in term %d", n.id, candidate, term, state.Vote, state.Term)
 	}
@@ -58,8 +59,8 @@
 	p.votes[key] = candidate
 }
 
-// see checks a node after its turn.
-func (p *promises) see(s *sim, n *simNode) {
+// checkNode checks a node after an iteration.
+func (p *invariants) checkNode(s *sim, n *simNode) {
 	r := n.replica
 	if version := r.state.document.Version; version < p.versions[r] {
 		s.t.Fatalf("%s goes back from version %d to %d", n.id, p.versions[r], version)
@@ -68,12 +69,12 @@
 	if r.core.Role() != raft.Leader {
 		return
 	}
-	p.committed(s, r.core)
-	p.leased(s)
+	p.checkCommit(s, r.core)
+	p.checkLeases(s)
 }
 
-// committed checks that a majority's disks hold what a leader has committed.
-func (p *promises) committed(s *sim, core *raft.Core) {
+// checkCommit checks that the disks of a majority hold everything a leader has committed.
+func (p *invariants) checkCommit(s *sim, core *raft.Core) {
 	index := core.Commit()
 	if index <= p.commits[core.Term()] || core.TermAt(index) != core.Term() {
 		return
@@ -99,11 +100,11 @@
 	return at < uint64(len(start.Entries)) && start.Entries[at].Term == term
 }
 
-// leased checks that at most one process that runs trusts its lease, each by its own clock.
-func (p *promises) leased(s *sim) {
+// checkLeases checks that at most one running process trusts its lease, each by its own clock.
+func (p *invariants) checkLeases(s *sim) {
 	leases := 0
 	for _, n := range s.nodes {
-		if n.replica != nil && !s.now.Before(n.frozenTo) && n.replica.core.LeaseValid(s.clock(n)) {
+		if n.replica != nil && !s.now.Before(n.frozenUntil) && n.replica.core.LeaseValid(s.clock(n)) {
 			leases++
 		}
 	}
@@ -112,7 +113,7 @@
 	}
 }
 
-// drawn returns a wait that is drawn anew for each write.
-func (s *sim) drawn(most time.Duration) func() time.Duration {
+// randomDuration returns a function that returns a random duration below most on each call.
+func (s *sim) randomDuration(most time.Duration) func() time.Duration {
 	return func() time.Duration { return time.Duration(s.random.Int64N(int64(most))) }
 }
--- a/src/control/proposal.go
+++ b/src/control/proposal.go
@@ -6,74 +6,74 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// proposalKey tells copies of a command: the version of a configuration, or a zone with what is
-// ordered for it. The zero key is of commands that have none.
+// proposalKey identifies copies of a command, either by configuration version or by a zone and its
+// requested drain state. Commands without copies have the zero key.
 type proposalKey struct {
 	version uint64
 	zone    string
 	drain   bool
 }
 
-// opposite returns the key of the order that undoes that of a key.
+// opposite returns the key of the order that reverses the order of this key.
 func (k proposalKey) opposite() proposalKey {
 	k.drain = !k.drain
 	return k
 }
 
-// proposeOnce hands a command to consensus, or waits for the copy of it that is under way: an entry
-// more would begin a write that what comes after the first one has to wait for. What comes after the
-// opposite order is no copy.
+// proposeOnce proposes a command, or waits for a pending copy of it: another entry would start a
+// write that everything after the first copy has to wait for. A command that follows the opposite
+// order is not a copy.
 func (r *Replica) proposeOnce(now time.Time, key proposalKey, data []byte, done func(result, error)) {
-	if index, again := r.proposed[key]; again && r.underWay(index) && r.waiting[index].key == key {
-		r.join(index, done)
+	if index, again := r.pendingByKey[key]; again && r.isPending(index) && r.waiters[index].key == key {
+		r.addWaiter(index, done)
 		return
 	}
 	if r.propose(now, key, data, done) && key.zone != "" {
-		delete(r.proposed, key.opposite())
+		delete(r.pendingByKey, key.opposite())
 	}
 }
 
-// proposeSettling makes what is applied up to an index settled, by an entry under way that does so
-// or an empty one.
+// proposeSettling settles everything applied up to an index, by a pending entry that does so or
+// else by an empty one.
 func (r *Replica) proposeSettling(now time.Time, index uint64, done func(result, error)) {
-	by := r.core.SettledBy(index)
-	if !r.underWay(by) {
+	settlingIndex := r.core.SettledBy(index)
+	if !r.isPending(settlingIndex) {
 		r.Propose(now, nil, done)
 		return
 	}
-	r.join(by, func(applied result, err error) {
+	r.addWaiter(settlingIndex, func(applied result, err error) {
 		if err == nil && applied.outcome != wire.Unknown {
-			// Whatever became of the entry's own command, it is committed.
+			// The entry is committed, whatever the result of its own command.
 			applied = result{outcome: wire.Accepted}
 		}
 		done(applied, err)
 	})
 }
 
-// underWay reports whether somebody waits for an entry that this node proposed in the present term: a
-// node that led an earlier one may have proposed another command in its place.
-func (r *Replica) underWay(index uint64) bool {
-	waiting, waited := r.waiting[index]
-	return waited && waiting.term == r.core.Term()
+// isPending reports whether an entry that this node proposed in the current term has waiters. An
+// entry of an earlier term may have been replaced by another command at the same index.
+func (r *Replica) isPending(index uint64) bool {
+	waiters, waited := r.waiters[index]
+	return waited && waiters.term == r.core.Term()
 }
 
-// join waits for an entry that others wait for.
-func (r *Replica) join(index uint64, done func(result, error)) {
-	waiting := r.waiting[index]
-	waiting.done = append(waiting.done, done)
-	r.waiting[index] = waiting
+// addWaiter waits for an entry that already has waiters.
+func (r *Replica) addWaiter(index uint64, done func(result, error)) {
+	waiters := r.waiters[index]
+	waiters.done = append(waiters.done, done)
+	r.waiters[index] = waiters
 }
 
-// forget ends the wait for an entry.
-func (r *Replica) forget(index uint64) {
-	if key := r.waiting[index].key; r.proposed[key] == index {
-		delete(r.proposed, key)
+// removeWaiters removes all waiters of an entry.
+func (r *Replica) removeWaiters(index uint64) {
+	if key := r.waiters[index].key; r.pendingByKey[key] == index {
+		delete(r.pendingByKey, key)
 	}
-	delete(r.waiting, index)
+	delete(r.waiters, index)
 }
 
-// tell tells all that wait.
-func (w waiter) tell(applied result, err error) {
+// complete passes the result to all callbacks.
+func (w waiter) complete(applied result, err error) {
 	for _, done := range w.done {
 		done(applied, err)
 	}
--- a/src/control/quorum.go
+++ b/src/control/quorum.go
@@ -8,9 +8,9 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// Quorum is how a control node sees the membership.
+// Quorum summarizes the membership as seen by a control node.
 type Quorum struct {
-	// Leading is set while this node leads; only then is Heard known.
+	// Leading is set while this node leads. Heard is known only then.
 	Leading bool
 	// LeaderKnown is set while this node leads or follows a leader.
 	LeaderKnown bool
@@ -18,21 +18,21 @@
 	Member   bool
 	Voters   int
 	Learners int
-	// Heard is the number of voters that follow, this node included.
+	// Heard is the number of voters in contact, including this node.
 	Heard int
-	// Version is that of the applied configuration, 0 if there is none.
+	// Version is the version of the applied configuration, 0 if there is none.
 	Version uint64
 	Term    uint64
 }
 
-// String returns the quorum for a log line.
+// String formats the quorum for a log line.
 func (q Quorum) String() string {
 	return fmt.Sprintf("%d of %d voters heard, %d learners", q.Heard, q.Voters, q.Learners)
 }
 
-// Quorum returns how this node saw the membership after its last turn. It does not wait for a turn,
-// which may wait for the disk: metrics have to be there just when a disk is slow.
-func (c *Cluster) Quorum() Quorum { return c.node.known().quorum }
+// Quorum returns the membership as of the last loop iteration. It does not wait for the event loop,
+// which may be blocked by the disk: metrics must be available especially while a disk is slow.
+func (c *Cluster) Quorum() Quorum { return c.node.currentView().quorum }
 
 func quorumOf(r *Replica, now time.Time) Quorum {
 	core := r.core
@@ -52,19 +52,19 @@
 	return q
 }
 
-// silentVoters returns the other voters that have not followed this leader lately.
+// silentVoters returns the other voters that are out of contact with this leader.
 func silentVoters(core *raft.Core, now time.Time) []raft.ID {
 	var silent []raft.ID
 	for _, id := range core.Members().Voters {
-		if id != core.ID() && now.Sub(lastContact(core, id)) >= voterContact {
+		if id != core.ID() && now.Sub(lastContact(core, id)) >= contactTimeout {
 			silent = append(silent, id)
 		}
 	}
 	return silent
 }
 
-// lastContact returns when a member last followed this leader, which counts as heard
-// when it was elected.
+// lastContact returns when a member last responded to this leader. A member that has not responded
+// yet counts as heard at the election.
 func lastContact(core *raft.Core, id raft.ID) time.Time {
 	at := core.Contact(id)
 	if since := core.LedSince(); at.Before(since) {
@@ -73,28 +73,28 @@
 	return at
 }
 
-// noteQuorum logs what a leader sees of the membership when that has changed.
-func (c *Cluster) noteQuorum(q Quorum) {
+// logQuorumChange logs the quorum of a leader when it has changed.
+func (c *Cluster) logQuorumChange(q Quorum) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := c.quorum
-	c.quorum = q
+	before := c.loggedQuorum
+	c.loggedQuorum = q
 	if q.Leading && (!before.Leading || before.String() != q.String()) {
 		c.ring.Add(event.Event{Kind: event.QuorumChanged, Host: c.Address(), Reason: q.String()})
 	}
 }
 
-// joinLogEvery bounds how often a node that is not let in logs why: each of the nodes that it
-// asks gives a reason of its own, five times a second in all.
-const joinLogEvery = 5 * time.Second
+// joinLogInterval limits how often the reasons for rejected join requests are logged. Each node
+// that is asked gives its own reason, five times a second in total.
+const joinLogInterval = 5 * time.Second
 
-// noteJoin logs what became of asking to be let in, when that has changed.
-func (c *Cluster) noteJoin(now time.Time, accepted bool, reason string) {
+// logJoin logs the outcome of a join request when it has changed.
+func (c *Cluster) logJoin(now time.Time, accepted bool, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if accepted == c.joined && (reason == c.joinReason || now.Sub(c.joinLoggedAt) < joinLogEvery) {
+	if accepted == c.joinAccepted && (reason == c.joinReason || now.Sub(c.joinLoggedAt) < joinLogInterval) {
 		return
 	}
-	c.joined, c.joinReason, c.joinLoggedAt = accepted, reason, now
+	c.joinAccepted, c.joinReason, c.joinLoggedAt = accepted, reason, now
 	c.ring.Add(event.Event{Kind: event.JoinAsked, Host: c.Address(), Reason: reason})
 }
--- a/src/control/quorum_test.go
+++ b/src/control/quorum_test.go
@@ -11,11 +11,9 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// TestTheMembershipIsToldWhileTheDiskHangs
-//
-// A control node gave no metrics within a second at the end of a run. Whoever asked for the membership
-// waited for a turn of the agreement, and a turn waits for the disk, up to 1 s beside others that
-// write much. That this was the cause of that run is not shown; this test fails without the mend.
+// Reading the quorum used to wait for the event loop, which waits for the disk, up to 1 s beside
+// other heavy writers. In one run a control node served no metrics within a second; it is not
+// proven that this was the cause.
 func TestTheMembershipIsToldWhileTheDiskHangs(t *testing.T) {
 	is := is.New(t)
 	hangs, release := make(chan struct{}, 16), make(chan struct{})
@@ -40,7 +38,7 @@
 	case q := <-told:
 		is.Equal(q.Voters, 1)
 	case <-time.After(20 * time.Second):
-		t.Error("the membership is not told as long as the disk hangs")
+		t.Error("the quorum can't be read while the disk hangs")
 	}
 	close(release)
 	cancel()
--- a/src/control/replica.go
+++ b/src/control/replica.go
@@ -12,73 +12,76 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The log is cut by a snapshot after so many applied entries or bytes of them.
+// A snapshot is taken, and the log truncated, after this many applied entries or bytes of entries.
 const (
-	snapshotEvery = 8192
-	snapshotBytes = 8 << 20
+	snapshotEntryLimit = 8192
+	snapshotByteLimit  = 8 << 20
 )
 
-// Replica is one control node's consensus, disk and state machine, without goroutines
-// and without a clock of its own. It is not safe for concurrent use.
+// Replica combines the consensus core, disk and state machine of one control node. It has no
+// goroutines and no clock of its own, and is not safe for concurrent use.
 type Replica struct {
 	core    *raft.Core
 	state   *State
 	disk    Disk
 	ring    *event.Ring
-	waiting map[uint64]waiter
-	// proposed are the entries under way that copies of their commands wait for.
-	proposed map[proposalKey]uint64
-	snapshot uint64
-	applied  uint64
-	every    uint64
-	// unsaved is the size of the entries applied since the last snapshot.
-	unsaved   int
-	lastRole  raft.Role
-	lastSeen  leaderSeen
-	hardState raft.HardState
-	changes   changes
-	// publish makes what was applied known to readers before those that wait for it are
-	// answered; nil if nobody reads beside the loop.
+	waiters map[uint64]waiter
+	// pendingByKey maps the keys of pending commands to the entries that carry them.
+	pendingByKey map[proposalKey]uint64
+	// snapshot and applied are the log indexes of the last snapshot and the last applied entry. A
+	// snapshot is due entryLimit entries after the last one.
+	snapshot   uint64
+	applied    uint64
+	entryLimit uint64
+	// unsnapshottedBytes is the size of the entries applied since the last snapshot.
+	unsnapshottedBytes int
+	lastRole           raft.Role
+	lastFollowed       followedLeader
+	hardState          raft.HardState
+	changeIndex        changeIndex
+	// publish makes applied entries visible to concurrent readers before the waiters for those
+	// entries are answered. It is nil if there are no such readers.
 	publish func()
-	// renewedAt is when this control node saw a zone's lease renewed, by its own clock.
+	// renewedAt is when this control node applied the last lease renewal of each zone, by its own
+	// clock.
 	renewedAt map[string]time.Time
-	// orderedAt is when this control node applied the last order of each kind about a zone, by
-	// its own clock.
+	// orderedAt is when this control node applied the last order of each kind for a zone, by its
+	// own clock.
 	orderedAt map[zoneCommand]time.Time
 }
 
-// waiter is those that wait for an entry of a term.
+// waiter holds the callbacks for an entry that was proposed in a term.
 type waiter struct {
 	term uint64
 	done []func(result, error)
 	key  proposalKey
 }
 
-// errOvertaken means that another leader's entry took a proposal's place.
-var errOvertaken = errors.New("another leader's entry took the place")
+// errOverwritten means that another leader's entry replaced a proposal in the log.
+var errOverwritten = errors.New("another leader's entry took the place")
 
-// NewReplica returns a replica that goes on from what its disk held.
+// NewReplica returns a replica that continues from the durable state in start.
 func NewReplica(id raft.ID, start raft.Start, disk Disk, options raft.Options, random *rand.Rand, ring *event.Ring, now time.Time) (*Replica, error) {
 	state, err := RestoreState(start.Snapshot.Data)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		core:      raft.New(id, start, options, random, now),
-		state:     state,
-		disk:      disk,
-		ring:      ring,
-		waiting:   map[uint64]waiter{},
-		proposed:  map[proposalKey]uint64{},
-		snapshot:  start.Snapshot.Index,
-		applied:   start.Snapshot.Index,
-		every:     snapshotEvery,
-		hardState: start.HardState,
-		renewedAt: map[string]time.Time{},
-		orderedAt: map[zoneCommand]time.Time{},
-		changes:   newChanges(state, start.Snapshot.Index),
+		core:         raft.New(id, start, options, random, now),
+		state:        state,
+		disk:         disk,
+		ring:         ring,
+		waiters:      map[uint64]waiter{},
+		pendingByKey: map[proposalKey]uint64{},
+		snapshot:     start.Snapshot.Index,
+		applied:      start.Snapshot.Index,
+		entryLimit:   snapshotEntryLimit,
+		hardState:    start.HardState,
+		renewedAt:    map[string]time.Time{},
+		orderedAt:    map[zoneCommand]time.Time{},
+		changeIndex:  newChangeIndex(state, start.Snapshot.Index),
 	}
-	r.stampAll(now)
+	r.resetTimestamps(now)
 	return r, nil
 }
 
@@ -88,10 +91,10 @@
 // State returns the state machine.
 func (r *Replica) State() *State { return r.state }
 
-// stampAll counts every lease as renewed and every zone order as given just now: how long ago
-// it really was is not known after a restart or a snapshot, and waiting longer is safe.
-func (r *Replica) stampAll(now time.Time) {
-	for _, order := range r.state.zones.given() {
+// resetTimestamps treats every lease as renewed and every zone order as given now. The real times
+// are not known after a restart or a snapshot, and waiting longer than necessary is safe.
+func (r *Replica) resetTimestamps(now time.Time) {
+	for _, order := range r.state.zones.changeOrders() {
 		r.orderedAt[order] = now
 	}
 	for zone := range r.state.renewed {
@@ -99,41 +102,43 @@
 	}
 }
 
-// Propose hands a command to consensus; done is called once, with its result or
-// with errOvertaken.
+// Propose proposes an encoded command. done is called once, with the command's result or an error
+// such as errOverwritten.
 func (r *Replica) Propose(now time.Time, data []byte, done func(result, error)) {
 	r.propose(now, proposalKey{}, data, done)
 }
 
-// propose is Propose of a command with a key; it reports whether the command is under way.
+// propose is Propose for a command with a key. It reports whether the command has been proposed.
 func (r *Replica) propose(now time.Time, key proposalKey, data []byte, done func(result, error)) bool {
 	term, index, err := r.core.Propose(now, data)
 	if err != nil {
 		done(result{}, err)
 		return false
 	}
-	r.waiting[index] = waiter{term: term, key: key, done: []func(result, error){done}}
+	r.waiters[index] = waiter{term: term, key: key, done: []func(result, error){done}}
 	if key != (proposalKey{}) {
-		r.proposed[key] = index
+		r.pendingByKey[key] = index
 	}
 	return true
 }
 
-// ProposeMembers hands a change of members to consensus.
+// ProposeMembers proposes a membership change.
 func (r *Replica) ProposeMembers(now time.Time, members raft.Members, done func(result, error)) {
 	term, index, err := r.core.ProposeMembers(now, members)
 	if err != nil {
 		done(result{}, err)
 		return
 	}
-	r.waiting[index] = waiter{term: term, done: []func(result, error){done}}
+	r.waiters[index] = waiter{term: term, done: []func(result, error){done}}
 }
 
-// Advance applies what is committed and returns the messages that may be sent now and what is to be
-// written, nil if there is nothing or a write is under way. Whoever writes it calls Written then.
+// Advance applies committed entries. It returns the messages that may be sent now and the next
+// write, which is nil if there is nothing to write or a write is in progress. The caller performs
+// the write and then calls Written.
 func (r *Replica) Advance(now time.Time) ([]raft.Message, *write, error) {
 	var out []raft.Message
-	// A snapshot that is due goes first: there may be something else to write at all times.
+	// A due snapshot takes precedence, because under load there may always be something else to
+	// write.
 	next, err := r.beginSnapshot(now)
 	if err != nil {
 		return nil, nil, err
@@ -150,41 +155,41 @@
 		out = append(out, ready.Messages...)
 		r.apply(now, ready.Committed)
 	}
-	r.noteRole()
-	r.noteLeader()
+	r.logRoleChange()
+	r.logLeaderChange()
 	return out, next, nil
 }
 
-// Written takes in that a write of Advance is durable.
-func (r *Replica) Written(now time.Time, done *write) error {
-	if done.own != nil {
-		r.core.Compact(now, *done.own)
-		r.snapshot = done.own.Index
-		r.unsaved -= done.covers
+// Written records that a write returned by Advance is durable.
+func (r *Replica) Written(now time.Time, finished *write) error {
+	if finished.localSnapshot != nil {
+		r.core.Compact(now, *finished.localSnapshot)
+		r.snapshot = finished.localSnapshot.Index
+		r.unsnapshottedBytes -= finished.coveredBytes
 		r.ring.Add(event.Event{Kind: event.SnapshotSaved, Host: string(r.core.ID())})
 		return nil
 	}
-	if done.ready.Snapshot != nil {
-		if err := r.restore(now, *done.ready.Snapshot); err != nil {
+	if finished.ready.Snapshot != nil {
+		if err := r.restore(now, *finished.ready.Snapshot); err != nil {
 			return err
 		}
 	}
-	r.core.Persisted(now, done.ready)
+	r.core.Persisted(now, finished.ready)
 	return nil
 }
 
-// restore replaces the state by that of the leader's snapshot.
+// restore replaces the state with a snapshot received from the leader.
 func (r *Replica) restore(now time.Time, snapshot raft.Snapshot) error {
 	state, err := RestoreState(snapshot.Data)
 	if err != nil {
 		return err
 	}
 	r.state = state
-	r.changes = newChanges(state, snapshot.Index)
+	r.changeIndex = newChangeIndex(state, snapshot.Index)
 	r.snapshot = snapshot.Index
 	r.applied = snapshot.Index
-	r.unsaved = 0
-	r.stampAll(now)
+	r.unsnapshottedBytes = 0
+	r.resetTimestamps(now)
 	r.ring.Add(event.Event{Kind: event.SnapshotReceived, Host: string(r.core.ID())})
 	return nil
 }
@@ -195,14 +200,14 @@
 		applied := r.state.Apply(entry)
 		applied.index = entry.Index
 		results[i] = applied
-		r.changes.note(r.state.document.Version, applied)
+		r.changeIndex.record(r.state.document.Version, applied)
 		r.applied = entry.Index
-		r.unsaved += len(entry.Data)
+		r.unsnapshottedBytes += len(entry.Data)
 		if applied.renewed != "" {
 			r.renewedAt[applied.renewed] = now
 		}
-		if applied.ordered != nil {
-			r.orderedAt[applied.ordered.kind()] = now
+		if applied.zoneOrder != nil {
+			r.orderedAt[applied.zoneOrder.withoutBase()] = now
 		}
 		if entry.Kind == raft.EntryMembers {
 			r.ring.Add(event.Event{Kind: event.VoterChanged, Reason: membersText(*entry.Members)})
@@ -212,30 +217,30 @@
 		r.publish()
 	}
 	for i, entry := range entries {
-		r.finish(entry, results[i])
+		r.completeWaiter(entry, results[i])
 	}
 }
 
-func (r *Replica) finish(entry raft.Entry, applied result) {
-	waiting, found := r.waiting[entry.Index]
+func (r *Replica) completeWaiter(entry raft.Entry, applied result) {
+	waiters, found := r.waiters[entry.Index]
 	if !found {
 		return
 	}
-	r.forget(entry.Index)
-	if waiting.term != entry.Term {
-		waiting.tell(result{}, errOvertaken)
+	r.removeWaiters(entry.Index)
+	if waiters.term != entry.Term {
+		waiters.complete(result{}, errOverwritten)
 		return
 	}
-	waiting.tell(applied, nil)
+	waiters.complete(applied, nil)
 }
 
-// snapshotDue reports whether enough was applied since the last snapshot.
+// snapshotDue reports whether enough entries have been applied since the last snapshot.
 func (r *Replica) snapshotDue() bool {
-	return r.applied > r.snapshot && (r.applied-r.snapshot >= r.every || r.unsaved >= snapshotBytes)
+	return r.applied > r.snapshot && (r.applied-r.snapshot >= r.entryLimit || r.unsnapshottedBytes >= snapshotByteLimit)
 }
 
-// beginSnapshot returns the write of a snapshot of all that is applied, nil if none is due or the
-// disk has another write.
+// beginSnapshot returns the write of a snapshot of the applied state, nil if no snapshot is due or
+// another write is in progress.
 func (r *Replica) beginSnapshot(now time.Time) (*write, error) {
 	if !r.snapshotDue() || !r.core.BeginCompact(now) {
 		return nil, nil
@@ -250,11 +255,11 @@
 		Members: r.core.MembersAt(r.applied),
 		Data:    data,
 	}
-	after := r.core.EntriesAfter(r.applied)
-	return &write{own: &snapshot, state: r.hardState, after: after, covers: r.unsaved}, nil
+	entriesAfter := r.core.EntriesAfter(r.applied)
+	return &write{localSnapshot: &snapshot, state: r.hardState, entriesAfter: entriesAfter, coveredBytes: r.unsnapshottedBytes}, nil
 }
 
-func (r *Replica) noteRole() {
+func (r *Replica) logRoleChange() {
 	role := r.core.Role()
 	if role == r.lastRole {
 		return
@@ -264,39 +269,39 @@
 	}
 	if r.lastRole == raft.Leader {
 		r.ring.Add(event.Event{Kind: event.LeaderLost, Host: string(r.core.ID())})
-		r.abandon()
+		r.abandonWaiters()
 	}
 	r.lastRole = role
 }
 
-// leaderSeen is which leader a control node follows, "" for none, and in which term.
-type leaderSeen struct {
+// followedLeader is the leader that a control node follows in a term, "" for none.
+type followedLeader struct {
 	term   uint64
 	leader raft.ID
 }
 
-// noteLeader logs which leader the node follows when that has changed, with what it has
-// applied, so that the nodes' lines together show for each moment who was led by whom.
-func (r *Replica) noteLeader() {
-	seen := leaderSeen{term: r.core.Term(), leader: r.core.Leader()}
-	if seen == r.lastSeen {
+// logLeaderChange logs the followed leader and the applied state when the leader has changed. The
+// log lines of all nodes together show who followed whom at any moment.
+func (r *Replica) logLeaderChange() {
+	followed := followedLeader{term: r.core.Term(), leader: r.core.Leader()}
+	if followed == r.lastFollowed {
 		return
 	}
-	r.lastSeen = seen
+	r.lastFollowed = followed
 	leader := "none"
-	if seen.leader != "" {
-		leader = string(seen.leader)
+	if followed.leader != "" {
+		leader = string(followed.leader)
 	}
 	r.ring.Add(event.Event{Kind: event.LeaderSeen, Host: string(r.core.ID()), Reason: fmt.Sprintf(
 		"leader %s in term %d, configuration %d applied, entry %d committed of %d",
-		leader, seen.term, r.state.document.Version, r.core.Commit(), r.core.LastIndex())})
+		leader, followed.term, r.state.document.Version, r.core.Commit(), r.core.LastIndex())})
 }
 
-// abandon answers all that wait: what they proposed may still be committed.
-func (r *Replica) abandon() {
-	for index, waiting := range r.waiting {
-		r.forget(index)
-		waiting.tell(result{outcome: wire.Unknown}, nil)
+// abandonWaiters reports an unknown outcome to all waiters, whose proposals may still be committed.
+func (r *Replica) abandonWaiters() {
+	for index, waiters := range r.waiters {
+		r.removeWaiters(index)
+		waiters.complete(result{outcome: wire.Unknown}, nil)
 	}
 }
 
--- a/src/control/service.go
+++ b/src/control/service.go
@@ -13,26 +13,29 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// silenceLimit is how long a control node's connection may stay without an answer.
-const silenceLimit = time.Second
+// peerTimeout is the ping timeout of connections to other control nodes, and bounds short calls to
+// them.
+const peerTimeout = time.Second
 
-// Service answers the control protocol for one control node; it is safe for concurrent use.
+// Service implements the control protocol of one control node. It is safe for concurrent use.
 type Service struct {
 	node    *Node
 	ring    *event.Ring
 	now     func() time.Time
 	clients map[string]*rpc.Client
-	// messages are the connections for consensus messages: behind other notifications, which
-	// are handled in order, a vote would wait.
+	// messages are the connections for consensus messages. Notifications on a connection are
+	// handled in order, so on a shared one a vote would wait for other notifications.
 	messages map[string]*rpc.Client
 	nodes    *nodeTable
 	deltas   *deltaCache
-	// changes lets one change at a time be checked and proposed.
-	changes sync.Mutex
-	ledSeen time.Time
+	// applyMu serializes the validation and proposal of configuration changes.
+	applyMu sync.Mutex
+	// notLeadingAt is when this node was last known not to lead.
+	notLeadingAt time.Time
 }
 
-// NewService returns the service of a node; peers gives the other control nodes' addresses by name.
+// NewService returns the service of a node. peers maps the names of the other control nodes to
+// their addresses.
 func NewService(node *Node, peers map[string]string, ring *event.Ring, meter *rpc.Meter, cut *fault.Cut, now func() time.Time) *Service {
 	s := &Service{
 		node:    node,
@@ -45,13 +48,13 @@
 		messages: map[string]*rpc.Client{},
 	}
 	for name, address := range peers {
-		s.clients[name] = rpc.NewClient(address, rpc.NewMux(), meter, cut, silenceLimit)
-		s.messages[name] = rpc.NewClient(address, rpc.NewMux(), meter, cut, messageSilence)
+		s.clients[name] = rpc.NewClient(address, rpc.NewMux(), meter, cut, peerTimeout)
+		s.messages[name] = rpc.NewClient(address, rpc.NewMux(), meter, cut, messagePingTimeout)
 	}
 	return s
 }
 
-// Register adds the service's methods to a mux.
+// Register adds the service's RPC methods to a mux.
 func (s *Service) Register(mux *rpc.Mux) {
 	mux.Handle(wire.MethodStep, rpc.Typed(s.step))
 	mux.Handle(wire.MethodApply, rpc.Typed(s.apply))
@@ -66,7 +69,7 @@
 	mux.Handle(wire.MethodHeld, rpc.Typed(s.held))
 }
 
-// nameOf returns the control node's name in an id.
+// nameOf returns the name part of an identity, which precedes the "#".
 func nameOf(id raft.ID) string {
 	name, _, _ := strings.Cut(string(id), "#")
 	return name
@@ -77,14 +80,14 @@
 	return wire.Empty{}, nil
 }
 
-// leading tells whether this control node leads, else who does.
-type leading struct {
+// leadership says whether this control node leads, and otherwise which one does.
+type leadership struct {
 	self   bool
 	leader string
 }
 
-func (s *Service) leading() leading {
-	var l leading
+func (s *Service) leadership() leadership {
+	var l leadership
 	s.node.Do(func(time.Time) {
 		core := s.node.replica.core
 		l.self = core.Role() == raft.Leader
@@ -93,8 +96,9 @@
 	return l
 }
 
-// toLeader sends a request on to the leader; it reports false if there is none in reach.
-func (s *Service) toLeader(ctx context.Context, leader, method string, request, reply any) (bool, error) {
+// callLeader forwards a request to the leader. It returns false if no connection to a leader is
+// configured.
+func (s *Service) callLeader(ctx context.Context, leader, method string, request, reply any) (bool, error) {
 	client := s.clients[leader]
 	if client == nil {
 		return false, nil
@@ -105,12 +109,12 @@
 }
 
 func (s *Service) claim(ctx context.Context, _ *rpc.Peer, request wire.ClaimRequest) (wire.ClaimReply, error) {
-	lead := s.leading()
+	lead := s.leadership()
 	if !lead.self {
 		reply := wire.ClaimReply{Outcome: wire.Unavailable}
-		reached, err := s.toLeader(ctx, lead.leader, wire.MethodClaim, request, &reply)
+		reached, err := s.callLeader(ctx, lead.leader, wire.MethodClaim, request, &reply)
 		if reached && err != nil {
-			// The leader may have granted it; the asker may ask again with its token.
+			// The leader may have granted the claim; the caller may retry with the same token.
 			return wire.ClaimReply{Outcome: wire.Unknown}, nil
 		}
 		return reply, nil
@@ -124,11 +128,11 @@
 	if reply.State == wire.ClaimRunning && s.holderLost(request.Key) {
 		reply.State = wire.ClaimLost
 	}
-	s.noteClaim(request, reply)
+	s.logClaim(request, reply)
 	return reply, nil
 }
 
-func (s *Service) noteClaim(request wire.ClaimRequest, reply wire.ClaimReply) {
+func (s *Service) logClaim(request wire.ClaimRequest, reply wire.ClaimReply) {
 	kind := event.ClaimRefused
 	if reply.State == wire.ClaimYours {
 		kind = event.ClaimGranted
@@ -136,27 +140,27 @@
 	s.ring.Add(event.Event{Kind: kind, Request: request.Token, Host: request.Holder, Reason: string(reply.State)})
 }
 
-// holderLost reports whether the process that claimed a key has been silent so
-// long that nobody will ever settle the claim.
+// holderLost reports whether the process that claimed a key has been silent for so long that the
+// claim will not be settled.
 func (s *Service) holderLost(key string) bool {
 	var holder string
-	var led time.Duration
+	var leadingFor time.Duration
 	s.node.Do(func(now time.Time) {
 		claims := s.node.replica.state.claims
 		known, found := claims.Keys[digestOf(key)]
 		if found {
 			holder = claims.Holders[known.Holder]
 		}
-		led = now.Sub(s.ledSeen)
+		leadingFor = now.Sub(s.notLeadingAt)
 	})
-	return holder != "" && led > lostAfter && s.nodes.silent(holder, s.now(), lostAfter)
+	return holder != "" && leadingFor > lostTimeout && s.nodes.silent(holder, s.now(), lostTimeout)
 }
 
 func (s *Service) settle(ctx context.Context, _ *rpc.Peer, request wire.SettleRequest) (wire.SettleReply, error) {
-	lead := s.leading()
+	lead := s.leadership()
 	if !lead.self {
 		reply := wire.SettleReply{Outcome: wire.Unavailable}
-		_, err := s.toLeader(ctx, lead.leader, wire.MethodSettle, request, &reply)
+		_, err := s.callLeader(ctx, lead.leader, wire.MethodSettle, request, &reply)
 		return reply, err
 	}
 	cmd := command{At: s.now(), Settle: &settleCommand{Key: request.Key, Token: request.Token, State: request.State, Released: request.Released}}
@@ -167,7 +171,7 @@
 	return wire.SettleReply{Outcome: applied.outcome}, nil
 }
 
-// Status returns the control node's part of a status.
+// Status returns this control node's section of the process status.
 func (s *Service) Status() *wire.ControlNodeStatus {
 	status := &wire.ControlNodeStatus{Nodes: s.nodes.list()}
 	s.node.Do(func(now time.Time) {
@@ -186,14 +190,14 @@
 	return status
 }
 
-// Send returns the function that carries consensus messages to the other
-// control nodes; messages to a control node that can't be reached are lost, as consensus allows.
+// Send returns a function that queues consensus messages for the other control nodes. Messages that
+// can't be queued or delivered are dropped, which consensus tolerates.
 func (s *Service) Send() func(raft.Message) {
 	queues := map[string]chan raft.Message{}
 	for name, client := range s.messages {
-		queue := make(chan raft.Message, inboxSize)
+		queue := make(chan raft.Message, queueSize)
 		queues[name] = queue
-		go forward(client, queue)
+		go sendMessages(client, queue)
 	}
 	return func(m raft.Message) {
 		queue := queues[nameOf(m.To)]
@@ -207,9 +211,9 @@
 	}
 }
 
-func forward(client *rpc.Client, queue <-chan raft.Message) {
+func sendMessages(client *rpc.Client, queue <-chan raft.Message) {
 	for m := range queue {
-		ctx, cancel := context.WithTimeout(context.Background(), silenceLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		_ = client.Notify(ctx, wire.MethodStep, m)
 		cancel()
 	}
--- a/src/control/settled.go
+++ b/src/control/settled.go
@@ -1,48 +1,49 @@
 package control
 
-// maxVersions bounds the versions whose entries are remembered.
+// maxVersions limits the number of versions whose entries are remembered.
 const maxVersions = 64
 
-// changes remembers which entries brought the newest configurations and zone orders, so that a copy
-// of a change is acknowledged as soon as its entry is settled, whichever copy settled it: where a
-// sync outlasts a call, no call lasts until its own entry is settled.
-type changes struct {
-	// versions are the newest versions that were in force, oldest first.
+// changeIndex remembers the log entries of the newest configurations and zone orders. With it, a
+// resent change is acknowledged as soon as the original entry is settled. This matters when a disk
+// sync takes longer than a call: no single call then lasts until its own entry is settled.
+type changeIndex struct {
+	// versions holds the most recent versions in force, oldest first.
 	versions []versionEntry
-	// zones are the entries of the last orders about zones; those of other zones are not later than
-	// restored.
-	zones    map[string]uint64
-	restored uint64
+	// zones holds the index of the last order for each zone. Zones without an entry were last
+	// changed at or before restoredIndex.
+	zones         map[string]uint64
+	restoredIndex uint64
 }
 
-// versionEntry is a configuration's version with the entry that brought it.
+// versionEntry is a configuration version and the index of the entry that set it.
 type versionEntry struct {
 	version uint64
 	index   uint64
 }
 
-// newChanges returns the changes known from a state that holds all up to an index.
-func newChanges(state *State, index uint64) changes {
-	c := changes{zones: map[string]uint64{}, restored: index}
+// newChangeIndex returns the index for a state that includes all entries up to an index.
+func newChangeIndex(state *State, index uint64) changeIndex {
+	c := changeIndex{zones: map[string]uint64{}, restoredIndex: index}
 	c.versions = []versionEntry{{version: state.document.Version, index: index}}
 	return c
 }
 
-// note takes in an applied entry, after which a version is in force.
-func (c *changes) note(version uint64, applied result) {
+// record adds an applied entry; version is the one in force after it.
+func (c *changeIndex) record(version uint64, applied result) {
 	if version > c.versions[len(c.versions)-1].version {
 		c.versions = append(c.versions, versionEntry{version: version, index: applied.index})
 	}
 	if n := len(c.versions) - maxVersions; n > 0 {
 		c.versions = c.versions[n:]
 	}
-	if applied.ordered != nil {
-		c.zones[applied.ordered.Zone] = applied.index
+	if applied.zoneOrder != nil {
+		c.zones[applied.zoneOrder.Zone] = applied.index
 	}
 }
 
-// versionSettled reports whether a version or a later one is settled, with all up to an index.
-func (c *changes) versionSettled(version, settled uint64) bool {
+// versionSettled reports whether the given version or a later one is settled, where settled is the
+// index up to which all entries are settled.
+func (c *changeIndex) versionSettled(version, settled uint64) bool {
 	for _, known := range c.versions {
 		if known.version >= version {
 			return known.index <= settled
@@ -51,11 +52,12 @@
 	return false
 }
 
-// zoneSettled reports whether the last order about a zone is settled, with all up to an index.
-func (c *changes) zoneSettled(zone string, settled uint64) bool {
+// zoneSettled reports whether the last order for a zone is settled, where settled is the index up
+// to which all entries are settled.
+func (c *changeIndex) zoneSettled(zone string, settled uint64) bool {
 	index, found := c.zones[zone]
 	if !found {
-		index = c.restored
+		index = c.restoredIndex
 	}
 	return index <= settled
 }
--- a/src/control/sim_test.go
+++ b/src/control/sim_test.go
@@ -13,16 +13,16 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// simStep is how far virtual time moves at once.
+// simStep is the step of virtual time.
 const simStep = 5 * time.Millisecond
 
-// errDied stands for a process that died in the middle of a write.
+// errDied is returned by a write during which the process is killed.
 var errDied = errors.New("the process died")
 
-// simDisk is a data folder in memory: what Save returned from is durable.
+// simDisk is an in-memory data folder. Data is durable once save has returned.
 type simDisk struct {
 	start raft.Start
-	// beforeSync and afterSync may kill the process around a write.
+	// beforeSync and afterSync may kill the process before or after a write.
 	beforeSync func() bool
 	afterSync  func() bool
 }
@@ -55,38 +55,39 @@
 	return nil
 }
 
-// simNode is one control node; its replica is nil while it is down.
+// simNode is one simulated control node. Its replica is nil while the node is stopped.
 type simNode struct {
 	id      raft.ID
 	disk    *simDisk
 	replica *Replica
-	// drift makes its clock run at another rate.
-	drift float64
-	// frozenTo stops the process without ending it; messages to it wait.
-	frozenTo time.Time
-	// old is an earlier state of the disk.
-	old raft.Start
-	// wait is how long the next write takes, nil for no time; writing is the one under way, which
-	// ends at writeEnds.
-	wait      func() time.Duration
-	writing   *write
-	writeEnds time.Time
-}
-
+	// clockRate is the speed of the node's clock relative to virtual time.
+	clockRate float64
+	// frozenUntil suspends the process until then; messages to it are kept.
+	frozenUntil time.Time
+	// oldDisk is an earlier state of the disk.
+	oldDisk raft.Start
+	// writeDuration returns how long the next write takes; nil means no time. pendingWrite is the
+	// write in progress, which finishes at writeEnds.
+	writeDuration func() time.Duration
+	pendingWrite  *write
+	writeEnds     time.Time
+}
+
+// delivery is a message in transit.
 type delivery struct {
 	at      time.Time
 	seq     int
 	message raft.Message
 }
 
-// effect is what a fault does to one message.
+// effect is the effect of a fault on one message.
 type effect struct {
 	drop   bool
 	copies int
 	delay  time.Duration
 }
 
-// sim runs control nodes on virtual time with a network and disks in memory.
+// sim runs control nodes on virtual time with an in-memory network and in-memory disks.
 type sim struct {
 	t       reporter
 	random  *rand.Rand
@@ -96,21 +97,21 @@
 	queue   []delivery
 	sent    int
 	effects func(m raft.Message) effect
-	// cut holds the directions in which nothing gets through.
-	cut     map[[2]string]bool
-	leaders map[uint64]raft.ID
-	every   uint64
-	crashes int
-	// accepted remembers the revision that each change was accepted at.
+	// cut holds the directions, sender first, in which messages are lost.
+	cut        map[[2]string]bool
+	leaders    map[uint64]raft.ID
+	entryLimit uint64
+	crashes    int
+	// accepted maps the ID of each accepted change to its revision.
 	accepted map[string]config.Revision
-	// granted remembers which token was told that a key is its own.
+	// granted maps each key to the token that was told it holds the key.
 	granted map[string]string
 	epochs  map[uint64]string
-	// promises are checked in every turn.
-	promises promises
+	// invariants are checked in every iteration.
+	invariants invariants
 }
 
-// Flush does all writes at once and returns the messages that may be sent then.
+// Flush performs all writes at once and returns the messages that may be sent then.
 func (r *Replica) Flush(now time.Time) ([]raft.Message, error) {
 	var out []raft.Message
 	for {
@@ -119,7 +120,7 @@
 		if err != nil || next == nil {
 			return out, err
 		}
-		if err := r.disk.do(next); err != nil {
+		if err := r.disk.perform(next); err != nil {
 			return nil, err
 		}
 		if err := r.Written(now, next); err != nil {
@@ -130,17 +131,17 @@
 
 func newSim(t reporter, seed uint64, names ...string) *sim {
 	s := &sim{
-		t:        t,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		began:    time.Unix(1_800_000_000, 0),
-		nodes:    map[string]*simNode{},
-		cut:      map[[2]string]bool{},
-		leaders:  map[uint64]raft.ID{},
-		accepted: map[string]config.Revision{},
-		granted:  map[string]string{},
-		epochs:   map[uint64]string{},
-		every:    40,
-		promises: newPromises(),
+		t:          t,
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		began:      time.Unix(1_800_000_000, 0),
+		nodes:      map[string]*simNode{},
+		cut:        map[[2]string]bool{},
+		leaders:    map[uint64]raft.ID{},
+		accepted:   map[string]config.Revision{},
+		granted:    map[string]string{},
+		epochs:     map[uint64]string{},
+		entryLimit: 40,
+		invariants: newInvariants(),
 	}
 	s.now = s.began
 	var members raft.Members
@@ -148,15 +149,15 @@
 		members.Voters = append(members.Voters, raft.ID(name+"#0"))
 	}
 	for _, name := range names {
-		s.nodes[name] = &simNode{id: raft.ID(name + "#0"), drift: 1, disk: &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: members}}}}
+		s.nodes[name] = &simNode{id: raft.ID(name + "#0"), clockRate: 1, disk: &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: members}}}}
 		s.boot(name)
 	}
 	return s
 }
 
-// clock is a node's own time.
+// clock returns the time on a node's own clock.
 func (s *sim) clock(n *simNode) time.Time {
-	return s.began.Add(time.Duration(float64(s.now.Sub(s.began)) * n.drift))
+	return s.began.Add(time.Duration(float64(s.now.Sub(s.began)) * n.clockRate))
 }
 
 // boot starts a node from its disk.
@@ -170,33 +171,33 @@
 	if err != nil {
 		s.t.Fatalf("booting %s: %v", name, err)
 	}
-	replica.every = s.every
+	replica.entryLimit = s.entryLimit
 	n.replica = replica
-	n.writing = nil
+	n.pendingWrite = nil
 }
 
-// disarm takes back the deaths that no write has met yet.
-func (s *sim) disarm() {
+// clearDiskFaults removes the disk faults that have not been triggered yet.
+func (s *sim) clearDiskFaults() {
 	for _, n := range s.nodes {
 		n.disk.beforeSync, n.disk.afterSync = nil, nil
 	}
 }
 
-// kill ends a process. A write under way may have reached the disk or not.
+// kill stops a process. A write in progress may or may not have reached the disk.
 func (s *sim) kill(name string) {
 	n := s.nodes[name]
 	if n.replica == nil {
 		return
 	}
-	if n.writing != nil && s.random.IntN(2) == 0 {
-		_ = n.replica.disk.do(n.writing)
+	if n.pendingWrite != nil && s.random.IntN(2) == 0 {
+		_ = n.replica.disk.perform(n.pendingWrite)
 	}
-	n.writing = nil
+	n.pendingWrite = nil
 	n.replica = nil
 	s.crashes++
 }
 
-// wipe gives a dead node an empty folder with a new identity.
+// wipe gives a stopped node an empty folder with a new identity.
 func (s *sim) wipe(name string) {
 	n := s.nodes[name]
 	s.sent++
@@ -204,22 +205,22 @@
 	n.disk = &simDisk{}
 }
 
-// comeBackOld starts a dead node with an earlier state of its disk. As
-// CheckDisk does, it asks the leader first what it once confirmed; the operator
-// then empties the folder.
-func (s *sim) comeBackOld(name string) {
+// bootOldDisk starts a stopped node with an earlier state of its disk. Like CheckDisk, it first
+// asks the leader what the node has acknowledged; if the disk holds less, it empties the folder as
+// an operator would.
+func (s *sim) bootOldDisk(name string) {
 	n := s.nodes[name]
 	if !s.until(20*time.Second, func() bool { return s.leader() != nil }) {
 		s.t.Fatal("no leader")
 	}
-	n.disk.start = n.old
-	if s.leader().replica.core.Match(n.id) > n.old.LastIndex() {
+	n.disk.start = n.oldDisk
+	if s.leader().replica.core.Match(n.id) > n.oldDisk.LastIndex() {
 		s.wipe(name)
 	}
 	s.boot(name)
 }
 
-// isolate cuts a node off in both directions, or only for what it sends.
+// isolate drops everything a node sends and, if bothWays is set, everything sent to it.
 func (s *sim) isolate(name string, bothWays bool) {
 	for other := range s.nodes {
 		if other != name {
@@ -240,18 +241,19 @@
 	return names
 }
 
-// run lets virtual time pass.
+// run advances virtual time.
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(simStep)
 		s.deliver()
 		for _, name := range s.names() {
-			s.turn(name)
+			s.iterate(name)
 		}
 	}
 }
 
-// until lets virtual time pass until a condition holds; it reports whether it did.
+// until advances virtual time until a condition holds or the limit is reached. It reports whether
+// the condition holds.
 func (s *sim) until(limit time.Duration, condition func() bool) bool {
 	for end := s.now.Add(limit); s.now.Before(end); {
 		if condition() {
@@ -274,7 +276,7 @@
 	})
 	for _, d := range due {
 		n := s.nodes[nameOf(d.message.To)]
-		if d.at.After(s.now) || (n != nil && s.now.Before(n.frozenTo)) {
+		if d.at.After(s.now) || (n != nil && s.now.Before(n.frozenUntil)) {
 			later = append(later, d)
 			continue
 		}
@@ -285,9 +287,9 @@
 	s.queue = append(later, s.queue...)
 }
 
-func (s *sim) turn(name string) {
+func (s *sim) iterate(name string) {
 	n := s.nodes[name]
-	if n.replica == nil || s.now.Before(n.frozenTo) {
+	if n.replica == nil || s.now.Before(n.frozenUntil) {
 		return
 	}
 	now := s.clock(n)
@@ -298,7 +300,7 @@
 	n.replica.core.Tick(now)
 	messages, err := s.advance(n, now)
 	if err != nil {
-		// Whatever was not sent yet dies with the process.
+		// Messages that have not been sent are lost with the process.
 		s.kill(name)
 		return
 	}
@@ -308,27 +310,27 @@
 		}
 		s.leaders[core.Term()] = core.ID()
 	}
-	s.promises.see(s, n)
+	s.invariants.checkNode(s, n)
 	for _, m := range messages {
-		s.promises.told(s, n, m)
-		s.post(m)
+		s.invariants.sent(s, n, m)
+		s.sendMessage(m)
 	}
 }
 
-// endWrite ends the write under way if its time has come.
+// endWrite finishes the write in progress if it is due.
 func (s *sim) endWrite(n *simNode, now time.Time) error {
-	if n.writing == nil || s.now.Before(n.writeEnds) {
+	if n.pendingWrite == nil || s.now.Before(n.writeEnds) {
 		return nil
 	}
-	done := n.writing
-	n.writing = nil
-	if err := n.replica.disk.do(done); err != nil {
+	done := n.pendingWrite
+	n.pendingWrite = nil
+	if err := n.replica.disk.perform(done); err != nil {
 		return err
 	}
 	return n.replica.Written(now, done)
 }
 
-// advance lets a node do what is to be done; writes that take no time are done at once.
+// advance lets a node do its pending work. Writes that take no time finish at once.
 func (s *sim) advance(n *simNode, now time.Time) ([]raft.Message, error) {
 	var out []raft.Message
 	for {
@@ -337,9 +339,9 @@
 		if err != nil || next == nil {
 			return out, err
 		}
-		n.writing, n.writeEnds = next, s.now
-		if n.wait != nil {
-			n.writeEnds = s.now.Add(n.wait())
+		n.pendingWrite, n.writeEnds = next, s.now
+		if n.writeDuration != nil {
+			n.writeEnds = s.now.Add(n.writeDuration())
 		}
 		if s.now.Before(n.writeEnds) {
 			return out, nil
@@ -350,8 +352,8 @@
 	}
 }
 
-// post puts a message on the network, through the faults.
-func (s *sim) post(m raft.Message) {
+// sendMessage puts a message on the network, subject to the injected faults.
+func (s *sim) sendMessage(m raft.Message) {
 	if s.cut[[2]string{nameOf(m.From), nameOf(m.To)}] {
 		return
 	}
@@ -369,7 +371,7 @@
 	}
 }
 
-// leader returns the node that leads the newest term, nil if none does.
+// leader returns the leader with the highest term, nil if there is none.
 func (s *sim) leader() *simNode {
 	var best *simNode
 	for _, name := range s.names() {
@@ -384,7 +386,7 @@
 	return best
 }
 
-// submit proposes a command at the leader, with the result in the pointer.
+// submit proposes a command at the leader and passes its result to done.
 func (s *sim) submit(cmd func(r *Replica) command, done func(result)) {
 	n := s.leader()
 	if n == nil {
@@ -401,7 +403,7 @@
 	})
 }
 
-// change asks for a change of one label, as an operator that may ask again.
+// change requests a change of one label. The same ID may be requested repeatedly.
 func (s *sim) change(id, name string) {
 	s.submit(func(r *Replica) command {
 		object := config.Object{Key: config.Key{Kind: config.KindLabel, Name: name}, Label: &config.Label{PointsTo: id}}
@@ -418,7 +420,7 @@
 	})
 }
 
-// claim asks for a key; two tokens must never both be told that it is theirs.
+// claim requests a key. No two tokens may be told that they hold the same key.
 func (s *sim) claim(key, token string) {
 	s.submit(func(*Replica) command {
 		return command{At: s.now, Claim: &claimCommand{Key: key, Token: token, Holder: "e"}}
@@ -427,13 +429,13 @@
 			return
 		}
 		if known, again := s.granted[key]; again && known != token {
-			s.t.Fatalf("key %s was given to %s and to %s", key, known, token)
+			s.t.Fatalf("key %s was granted to %s and to %s", key, known, token)
 		}
 		s.granted[key] = token
 	})
 }
 
-// grant asks for a zone's authority for a holder, as the service does.
+// grant requests a zone's authority for a holder, as Service does.
 func (s *sim) grant(holder string) {
 	n := s.leader()
 	if n == nil {
@@ -448,14 +450,15 @@
 			return
 		}
 		if known, again := s.epochs[r.epoch]; again && known != holder {
-			s.t.Fatalf("epoch %d was given to %s and to %s", r.epoch, known, holder)
+			s.t.Fatalf("epoch %d was granted to %s and to %s", r.epoch, known, holder)
 		}
 		s.epochs[r.epoch] = holder
 	})
 }
 
-// tend does what the leader's Tend does, and what a joining control node asks for.
-func (s *sim) tend() {
+// maintainMembership does what Service.MaintainMembership does: it proposes the leader's next
+// membership change and the join requests of nodes that are not members.
+func (s *sim) maintainMembership() {
 	lead := s.leader()
 	if lead == nil {
 		return
@@ -468,14 +471,14 @@
 		n := s.nodes[name]
 		members := core.Members()
 		if n.replica != nil && !members.IsVoter(n.id) && !members.IsLearner(n.id) {
-			_, _, _ = core.ProposeMembers(s.clock(lead), wanted(members, wire.MembersRequest{AddLearner: n.id}))
+			_, _, _ = core.ProposeMembers(s.clock(lead), membersAfter(members, wire.MembersRequest{AddLearner: n.id}))
 		}
 	}
 }
 
-// check compares all control nodes after everything has settled: nothing accepted may
-// be gone anywhere, and all states must be equal.
-func (s *sim) check() {
+// checkFinalState compares all control nodes after they have recovered: no accepted change or claim
+// may be lost on any node, and all states must be equal.
+func (s *sim) checkFinalState() {
 	s.t.Helper()
 	var reference []byte
 	for _, name := range s.names() {
@@ -491,7 +494,7 @@
 			s.t.Fatalf("the state of %s differs", name)
 		}
 		for id, revision := range s.accepted {
-			if known, found := n.replica.state.Answered(id); !found || known != revision {
+			if known, found := n.replica.state.AcceptedRevision(id); !found || known != revision {
 				s.t.Fatalf("%s has lost change %s, accepted at %v", name, id, revision)
 			}
 		}
@@ -503,8 +506,8 @@
 	}
 }
 
-// settled reports whether all control nodes run, vote and have applied the same.
-func (s *sim) settled() bool {
+// converged reports whether all control nodes run, vote and have applied the same entries.
+func (s *sim) converged() bool {
 	lead := s.leader()
 	if lead == nil || lead.replica.core.Commit() != lead.replica.core.LastIndex() {
 		return false
@@ -517,7 +520,7 @@
 	return len(lead.replica.core.Members().Voters) == len(s.nodes)
 }
 
-// lossy loses, delays and doubles messages at random.
+// lossy randomly drops, delays and duplicates messages.
 func lossy(s *sim) func(raft.Message) effect {
 	return func(raft.Message) effect {
 		return effect{
@@ -528,14 +531,14 @@
 	}
 }
 
-// reporter is what testing and rapid have in common.
+// reporter is the common part of testing.TB and rapid.T.
 type reporter interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// describe tells how every control node stands, for failures.
+// describe formats the state of every control node for failure messages.
 func (s *sim) describe() string {
 	text := ""
 	for _, name := range s.names() {
--- a/src/control/slow_disk_test.go
+++ b/src/control/slow_disk_test.go
@@ -14,8 +14,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// slowNodes runs three nodes in this process whose writes take as long as pause says; stop ends
-// them. Messages go from one node to the other at once.
+// slowNodes runs three nodes whose writes take as long as pause returns; stop ends them. Messages
+// between the nodes take no time.
 func slowNodes(t *testing.T, pause func(id raft.ID) time.Duration) (nodes map[raft.ID]*Node, stop func()) {
 	t.Helper()
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}}
@@ -46,7 +46,8 @@
 	}
 }
 
-// clusterOfOne runs a cluster's only node, whose writes each take as long as sync; stop ends it.
+// clusterOfOne runs a cluster of a single node whose writes each take the duration sync; stop ends
+// it.
 func clusterOfOne(t *testing.T, sync time.Duration) (c *Cluster, stop func()) {
 	t.Helper()
 	disk := &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}}
@@ -71,7 +72,7 @@
 	}
 }
 
-// acceptedBy reports whether a node that leads accepts a version.
+// acceptedBy reports whether a leading node accepts a version.
 func acceptedBy(t *testing.T, nodes map[raft.ID]*Node, version uint64) bool {
 	t.Helper()
 	document := command{Document: &documentCommand{Version: version, Packed: []byte(fmt.Sprint(version))}}
@@ -84,16 +85,12 @@
 	return false
 }
 
-// What callers saw: beside others that write much to the same disks no change of the
-// configuration, no drain and no key was served any more, for as long as the disks were slow.
-//
-// Order of events: each control node's loop waits for its disk; no heartbeat goes out and none is
-// answered meanwhile; the leader's lease and its followers' patience end; the next election waits
-// for two syncs in a row, which takes longer than the time after which everybody starts another
-// one.
-//
-// Evidence: with syncs of 150 ms three nodes keep their leader, with 200 ms and more they accept
-// nothing (0 of 104 changes in 40 s) and terms go by.
+// With slow disks, for example beside other heavy writers, no configuration change, drain or claim
+// was served any more. The event loops waited for their disks, heartbeats were neither sent nor
+// answered, the leader's lease and the election timeouts expired, and an election needed two
+// consecutive syncs, which took longer than the timeout for the next one. With syncs of 150 ms
+// three nodes kept their leader; with 200 ms and more they accepted 0 of 104 changes in 40 s while
+// terms increased.
 func TestChangesAreAcceptedWhileAllDisksAreSlow(t *testing.T) {
 	is := is.New(t)
 	nodes, stop := slowNodes(t, func(raft.ID) time.Duration { return 300 * time.Millisecond })
@@ -108,15 +105,11 @@
 	}
 }
 
-// What operators saw: with syncs of a second no configuration and no drain was acknowledged any more,
-// however often it was sent, though each was in force.
-//
-// Order of events: a call ends before the sync of its entry; the next copy finds the change in force
-// and adds an empty entry, so that a majority's disks know that it is committed; that entry's sync
-// outlasts the call too, and so on with each copy.
-//
-// Evidence: the soak with syncs of a second: no version was acknowledged in 170 s, while gateways
-// acted on them; this test, in which 12 copies of each change were sent.
+// With syncs of a second, changes took effect but were never acknowledged, however often they were
+// sent. Each call ended before the sync of its entry, and each further copy added an empty entry to
+// settle the change, whose sync outlasted the call again. In a soak test with such disks no version
+// was acknowledged in 170 s, although gateways acted on them; this test failed in the same way with
+// 12 copies of each change.
 func TestAChangeIsAcknowledgedThoughASyncOutlastsItsCalls(t *testing.T) {
 	is := is.New(t)
 	cluster, stop := clusterOfOne(t, forwardTimeout+150*time.Millisecond)
@@ -135,20 +128,20 @@
 	is.True(sent(func() wire.Outcome { return cluster.OrderZone(t.Context(), "x", true).Outcome }))
 }
 
-// TestACallThatWaitsIsAnsweredOnceItsSyncsAreDone, by its first copy: a caller that is patient enough
-// must not be told that nobody knows.
+// The first copy of a change must be acknowledged if its caller waits long enough, rather than be
+// reported as unknown.
 func TestACallThatWaitsIsAnsweredOnceItsSyncsAreDone(t *testing.T) {
 	is := is.New(t)
 	cluster, stop := clusterOfOne(t, forwardTimeout+150*time.Millisecond)
 	defer stop()
 	for !cluster.Leadership().Self {
-		time.Sleep(leaderPoll)
+		time.Sleep(leaderPollInterval)
 	}
 	is.Equal(cluster.Put(t.Context(), wire.DocumentRequest{Version: 1, Packed: []byte("one")}).Outcome, wire.Accepted)
 }
 
-// TestCopiesOfACommandShareItsEntry while it is under way, and orders that come after the opposite
-// one do not.
+// Copies of a pending command share its entry, but a copy that follows the opposite order gets an
+// entry of its own.
 func TestCopiesOfACommandShareItsEntry(t *testing.T) {
 	is := is.New(t)
 	s := newSim(t, 1, "k1", "k2", "k3")
@@ -166,13 +159,13 @@
 		r.proposeOnce(s.now, key, nil, answered)
 	}
 	is.Equal(r.core.LastIndex(), before+4)
-	// What an earlier term proposed in a place says nothing of what stands there now.
+	// An entry proposed at an index in an earlier term may have been replaced.
 	stale := proposalKey{version: 9}
-	r.proposed[stale] = before + 1
+	r.pendingByKey[stale] = before + 1
 	r.proposeOnce(s.now, stale, nil, answered)
 	is.Equal(r.core.LastIndex(), before+5)
 	s.run(time.Second)
 	is.Equal(answers, 9)
-	is.Equal(len(r.proposed), 0)
-	is.Equal(len(r.waiting), 0)
+	is.Equal(len(r.pendingByKey), 0)
+	is.Equal(len(r.waiters), 0)
 }
--- a/src/control/slow_history_test.go
+++ b/src/control/slow_history_test.go
@@ -10,14 +10,14 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestRandomHistoriesOnSlowDisks is TestRandomHistories on disks whose writes end late, in groups or
-// not before others have given up, and are in part lost with the process. The promises are checked
-// in every turn.
+// TestRandomHistoriesOnSlowDisks is TestRandomHistories with slow disks: writes finish late, in
+// groups, or after the other nodes have given up on the node, and some are lost in a crash. The
+// invariants are checked in every iteration.
 func TestRandomHistoriesOnSlowDisks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		randomHistory(rt, func(rt *rapid.T, s *sim) {
 			if rapid.Bool().Draw(rt, "disk") {
-				slowEvent(rt, s)
+				randomDiskEvent(rt, s)
 				return
 			}
 			randomEvent(rt, s)
@@ -25,68 +25,68 @@
 	})
 }
 
-// slowEvent changes how long the writes of one or of all nodes take.
-func slowEvent(rt *rapid.T, s *sim) {
-	struck := s.names()
+// randomDiskEvent changes the write duration of one or all nodes.
+func randomDiskEvent(rt *rapid.T, s *sim) {
+	affected := s.names()
 	if rapid.Bool().Draw(rt, "one") {
-		struck = []string{rapid.SampledFrom(struck).Draw(rt, "disk of")}
+		affected = []string{rapid.SampledFrom(affected).Draw(rt, "disk of")}
 	}
 	took := time.Duration(rapid.IntRange(1, 3000).Draw(rt, "sync")) * time.Millisecond
-	wait := map[string]func() time.Duration{
+	writeDuration := map[string]func() time.Duration{
 		"fast":  nil,
 		"slow":  func() time.Duration { return took },
-		"drawn": s.drawn(took),
+		"drawn": s.randomDuration(took),
 		"group": func() time.Duration { return took - s.now.Sub(s.began)%took },
 		"hang":  func() time.Duration { return 10 * time.Second },
 	}[rapid.SampledFrom([]string{"fast", "slow", "drawn", "group", "hang"}).Draw(rt, "how")]
-	for _, name := range struck {
-		s.nodes[name].wait = wait
+	for _, name := range affected {
+		s.nodes[name].writeDuration = writeDuration
 	}
 	if rapid.IntRange(0, 5).Draw(rt, "power") == 0 {
 		for _, name := range s.names() {
 			s.kill(name)
 		}
 		s.run(200 * time.Millisecond)
-		revive(s, "")
+		restartStopped(s, "")
 	}
 }
 
-// fastDisks ends all writes in no time from now on.
+// fastDisks makes all current and future writes finish at once.
 func (s *sim) fastDisks() {
 	for _, n := range s.nodes {
-		n.wait = nil
+		n.writeDuration = nil
 		n.writeEnds = s.now
 	}
 }
 
-// document puts a configuration of a version in force.
+// document submits a configuration with a version.
 func (s *sim) document(version uint64) {
 	s.submit(func(*Replica) command {
 		return command{At: s.now, Document: &documentCommand{Version: version, Packed: []byte("d")}}
 	}, func(result) {})
 }
 
-// caller asks for one change after the other, each again until it is accepted.
+// caller submits one change after another and resends each until it is accepted.
 type caller struct {
 	s       *sim
 	number  int
 	pending bool
-	askedAt time.Time
+	sentAt  time.Time
 	began   time.Time
-	// took is how long each change took from its first try.
+	// took is how long each change took from its first attempt.
 	took []time.Duration
 }
 
-// ask lets the caller go on; it asks again after a second without an answer.
-func (c *caller) ask() {
-	if c.pending && c.s.now.Sub(c.askedAt) < time.Second {
+// send submits the next change, or resends the pending one after a second without a reply.
+func (c *caller) send() {
+	if c.pending && c.s.now.Sub(c.sentAt) < time.Second {
 		return
 	}
 	if !c.pending {
 		c.began = c.s.now
 		c.number++
 	}
-	c.pending, c.askedAt = true, c.s.now
+	c.pending, c.sentAt = true, c.s.now
 	number := c.number
 	c.s.submit(func(*Replica) command {
 		return command{At: c.s.now, Document: &documentCommand{Version: uint64(number), Packed: []byte("d")}}
@@ -98,36 +98,36 @@
 	})
 }
 
-// play lets time pass with a caller that asks.
-func (c *caller) play(span time.Duration) {
+// runFor advances virtual time while the caller sends changes.
+func (c *caller) runFor(span time.Duration) {
 	for end := c.s.now.Add(span); c.s.now.Before(end); {
-		c.ask()
+		c.send()
 		c.s.run(simStep)
 	}
 }
 
-// The longest a change may take: so many syncs, and a time for all else.
+// A change may take at most maxChangeSyncs syncs plus changeOverhead.
 const (
-	changeSyncs = 3
-	changeRest  = 300 * time.Millisecond
+	maxChangeSyncs = 3
+	changeOverhead = 300 * time.Millisecond
 )
 
-// What callers saw: see TestChangesAreAcceptedWhileAllDisksAreSlow. However slow all disks are, one
-// leader is elected and stays, and each change is accepted within a few syncs.
+// However slow all disks are, one leader is elected and keeps its role, and each change is accepted
+// within a few syncs. See TestChangesAreAcceptedWhileAllDisksAreSlow for the failure.
 func TestALeaderStaysWhileAllDisksAreSlow(t *testing.T) {
 	for _, sync := range []time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second, 3 * time.Second} {
 		for seed := uint64(1); seed <= 8; seed++ {
 			s := newSim(t, seed, "k1", "k2", "k3")
 			for _, n := range s.nodes {
-				n.wait = func() time.Duration { return sync }
+				n.writeDuration = func() time.Duration { return sync }
 			}
 			if !s.until(4*sync+3*time.Second, func() bool { return s.leader() != nil }) {
 				t.Fatalf("syncs of %s, seed %d: no leader%s", sync, seed, s.describe())
 			}
 			c := caller{s: s}
-			c.play(40 * time.Second)
+			c.runFor(40 * time.Second)
 			for i, took := range c.took {
-				if took > changeSyncs*sync+changeRest {
+				if took > maxChangeSyncs*sync+changeOverhead {
 					t.Fatalf("syncs of %s, seed %d: change %d took %s", sync, seed, i, took)
 				}
 			}
@@ -138,25 +138,25 @@
 	}
 }
 
-// TestALeaderIsElectedOnSlowDisksOfFive, after at most two elections without a result, also after it
-// was lost: with five voters more than one candidate may come up while votes are being written.
-func TestALeaderIsElectedOnSlowDisksOfFive(t *testing.T) {
+// With five voters, more than one candidate may appear while votes are being written. A leader must
+// be elected after at most two failed elections, also after a leader has been lost.
+func TestFiveVotersElectALeaderOnSlowDisks(t *testing.T) {
 	for _, sync := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
 		for seed := uint64(1); seed <= 20; seed++ {
 			s := newSim(t, seed, "k1", "k2", "k3", "k4", "k5")
 			for _, n := range s.nodes {
-				n.wait = s.drawn(sync)
+				n.writeDuration = s.randomDuration(sync)
 			}
 			for range 3 {
 				before := s.newestTerm()
-				s.mustLead(2 * time.Minute)
+				s.requireLeader(2 * time.Minute)
 				if term := s.leader().replica.core.Term(); term > before+3 {
 					t.Fatalf("syncs of %s, seed %d: %d terms until there was a leader", sync, seed, term-before)
 				}
 				c := caller{s: s}
-				c.play(10 * time.Second)
+				c.runFor(10 * time.Second)
 				// A candidate whose vote was written late may have ended the leader's term.
-				s.mustLead(2 * time.Minute)
+				s.requireLeader(2 * time.Minute)
 				lost := nameOf(s.leader().id)
 				s.kill(lost)
 				s.run(3 * time.Second)
@@ -166,15 +166,15 @@
 	}
 }
 
-// mustLead lets time pass until there is a leader.
-func (s *sim) mustLead(limit time.Duration) {
+// requireLeader advances virtual time until there is a leader.
+func (s *sim) requireLeader(limit time.Duration) {
 	s.t.Helper()
 	if !s.until(limit, func() bool { return s.leader() != nil }) {
 		s.t.Fatalf("there is no leader%s", s.describe())
 	}
 }
 
-// newestTerm returns the newest term that a node knows.
+// newestTerm returns the highest term known to any node.
 func (s *sim) newestTerm() uint64 {
 	var newest uint64
 	for _, n := range s.nodes {
@@ -185,17 +185,17 @@
 	return newest
 }
 
-// What callers saw: a leader whose disk hung kept its place as long as it still answered heartbeats
-// and held every change. Others whose disks are well lead soon.
+// A leader with a hung disk used to keep its role as long as it answered heartbeats, and blocked
+// every change. It must soon be replaced by a node with a working disk.
 func TestALeaderWhoseDiskHangsHandsOver(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := newSim(t, seed, "k1", "k2", "k3")
 		s.run(2 * time.Second)
 		hung := s.leader()
 		ends := s.now.Add(10 * time.Second)
-		hung.wait = func() time.Duration { return max(ends.Sub(s.now), 0) }
+		hung.writeDuration = func() time.Duration { return max(ends.Sub(s.now), 0) }
 		c := caller{s: s}
-		c.play(9 * time.Second)
+		c.runFor(9 * time.Second)
 		for i, took := range c.took {
 			if took > 3*time.Second {
 				t.Fatalf("seed %d: change %d took %s", seed, i, took)
@@ -204,20 +204,20 @@
 		if lead := s.leader(); lead == nil || lead == hung || len(c.took) < 100 {
 			t.Fatalf("seed %d: %d changes%s", seed, len(c.took), s.describe())
 		}
-		c.play(4 * time.Second)
-		if !s.until(10*time.Second, s.settled) {
-			t.Fatalf("seed %d: not settled%s", seed, s.describe())
+		c.runFor(4 * time.Second)
+		if !s.until(10*time.Second, s.converged) {
+			t.Fatalf("seed %d: not converged%s", seed, s.describe())
 		}
 	}
 }
 
-// TestANodeWhoseDiskHangsIsNotElected while others can lead, and does not keep them from it.
+// A node with a hung disk must neither win an election while others can nor prevent one.
 func TestANodeWhoseDiskHangsIsNotElected(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := newSim(t, seed, "k1", "k2", "k3", "k4", "k5")
 		s.run(2 * time.Second)
 		hung := s.nodes[follower(s)]
-		hung.wait = func() time.Duration { return time.Hour }
+		hung.writeDuration = func() time.Duration { return time.Hour }
 		s.document(1)
 		s.run(time.Second)
 		s.kill(nameOf(s.leader().id))
