--- a/src/control/state.go
+++ b/src/control/state.go
@@ -11,26 +11,27 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The bounds of what is remembered of past changes.
+// Limits on the retained change history.
 const (
 	maxDeletions = 4096
 	maxChangeIDs = 16384
 )
 
-// deletion remembers that an object went, for deltas.
+// deletion records that an object was deleted, so that delta updates can include it.
 type deletion struct {
 	Key      config.Key
 	Revision config.Revision
 	By       string
 }
 
-// answered remembers a change's answer, for a change that is sent again.
+// answered records the revision at which a change was accepted, so that a resent change gets the
+// same answer.
 type answered struct {
 	ID       string
 	Revision config.Revision
 }
 
-// savedState is the state as it stands in a snapshot.
+// savedState is the serialized form of State in a snapshot.
 type savedState struct {
 	Clock     time.Time         `cbor:"1,keyasint"`
 	Revision  config.Revision   `cbor:"2,keyasint"`
@@ -40,34 +41,35 @@
 	Renewed   map[string]uint64 `cbor:"6,keyasint"`
 	Claims    *claims           `cbor:"7,keyasint"`
 	Document  document          `cbor:"8,keyasint"`
-	// Extensions are left out by versions that have no client accounts.
+	// Extensions is absent from snapshots of versions without client accounts.
 	Extensions map[string]float64 `cbor:"9,keyasint,omitempty"`
-	// Zones are left out by versions that can't drain zones.
+	// Zones is absent from snapshots of versions that can't drain zones.
 	Zones zoneStates `cbor:"10,keyasint,omitempty"`
 }
 
-// State is the replicated state machine: the same entries in the same order
-// give the same state at every control node. It is not safe for concurrent use.
+// State is the replicated state machine: applying the same entries in the same order gives the same
+// state on every control node. It is not safe for concurrent use.
 type State struct {
 	clock     time.Time
 	set       *config.Set
 	deletions []deletion
-	// forgotten is the revision of the newest deletion that is remembered no more.
-	forgotten config.Revision
-	answers   []answered
-	byID      map[string]config.Revision
-	renewed   map[string]uint64
-	claims    *claims
-	document  document
-	// extensions are what client accounts may use at once beyond their rates, in units.
-	// The map is replaced and never changed, so that others may read it.
+	// prunedRevision is the revision of the newest deletion that has been pruned from deletions.
+	prunedRevision config.Revision
+	answers        []answered
+	byID           map[string]config.Revision
+	renewed        map[string]uint64
+	claims         *claims
+	document       document
+	// extensions holds the units that client accounts may use at once beyond their rates. The map
+	// is copied on write, so readers may keep a reference to it.
 	extensions map[string]float64
-	// zones are the zones that were ever ordered about; drains is what others read of them.
+	// zones holds every zone that has ever been drained; drains is the read-only summary that is
+	// handed out to readers.
 	zones  zoneStates
 	drains *wire.ZoneDrains
 }
 
-// NewState returns the state before the first entry.
+// NewState returns the empty state that precedes the first log entry.
 func NewState() *State {
 	return &State{
 		set:     config.NewSet(config.Revision{}, nil),
@@ -79,13 +81,13 @@
 	}
 }
 
-// Set returns the configuration in force.
+// Set returns the current configuration.
 func (s *State) Set() *config.Set { return s.set }
 
-// Claims returns the number of claims remembered.
+// Claims returns the number of retained claims.
 func (s *State) Claims() int { return len(s.claims.Keys) }
 
-// Apply applies one committed entry.
+// Apply applies a committed log entry.
 func (s *State) Apply(entry raft.Entry) result {
 	if entry.Kind != raft.EntryCommand || len(entry.Data) == 0 {
 		return result{outcome: wire.Accepted}
@@ -118,22 +120,24 @@
 	return result{outcome: wire.Refused, reason: "the command is of a later version"}
 }
 
-// Answered returns the answer that a change got before.
-func (s *State) Answered(id string) (config.Revision, bool) {
+// AcceptedRevision returns the revision at which the change with the given ID was accepted, if that
+// is still remembered.
+func (s *State) AcceptedRevision(id string) (config.Revision, bool) {
 	revision, found := s.byID[id]
 	return revision, found
 }
 
-// Conflicts returns the objects of a change that were changed after its base.
+// Conflicts returns the objects of a change that have been modified or deleted since its base
+// revision.
 func (s *State) Conflicts(change config.Change) []wire.Conflict {
 	var found []wire.Conflict
 	for _, key := range change.Keys() {
 		if object, exists := s.set.Get(key); exists && change.Base.Before(object.Revision) {
 			found = append(found, wire.Conflict{Key: key, Revision: object.Revision, By: object.By})
 		}
-		for _, gone := range s.deletions {
-			if gone.Key == key && change.Base.Before(gone.Revision) {
-				found = append(found, wire.Conflict{Key: key, Revision: gone.Revision, By: gone.By})
+		for _, deleted := range s.deletions {
+			if deleted.Key == key && change.Base.Before(deleted.Revision) {
+				found = append(found, wire.Conflict{Key: key, Revision: deleted.Revision, By: deleted.By})
 			}
 		}
 	}
@@ -154,11 +158,11 @@
 	put := append(append([]config.Object(nil), change.Put...), cmd.Assign...)
 	remove := append(append([]config.Key(nil), change.Delete...), cmd.Unassign...)
 	s.put(revision, change.By, put, remove)
-	s.remember(answered{ID: change.ID, Revision: revision})
+	s.recordAnswer(answered{ID: change.ID, Revision: revision})
 	return result{outcome: wire.Accepted, revision: revision}
 }
 
-// put moves the configuration to a new revision.
+// put applies puts and deletions to the configuration at a new revision.
 func (s *State) put(revision config.Revision, by string, put []config.Object, remove []config.Key) {
 	for i := range put {
 		put[i].Revision = revision
@@ -168,14 +172,14 @@
 		s.deletions = append(s.deletions, deletion{Key: key, Revision: revision, By: by})
 	}
 	if extra := len(s.deletions) - maxDeletions; extra > 0 {
-		s.forgotten = s.deletions[extra-1].Revision
+		s.prunedRevision = s.deletions[extra-1].Revision
 		s.deletions = append([]deletion(nil), s.deletions[extra:]...)
 	}
 	next, _ := s.set.Apply(config.Update{From: s.set.Revision(), To: revision, Put: put, Delete: remove})
 	s.set = next
 }
 
-func (s *State) remember(answer answered) {
+func (s *State) recordAnswer(answer answered) {
 	s.answers = append(s.answers, answer)
 	s.byID[answer.ID] = answer.Revision
 	for len(s.answers) > maxChangeIDs {
@@ -216,14 +220,14 @@
 	return result{outcome: wire.Accepted}
 }
 
-// Renewed returns the log index of a zone's last grant or renewal.
+// Renewed returns the log index of the last grant or renewal of a zone's lease.
 func (s *State) Renewed(zone string) uint64 { return s.renewed[zone] }
 
-// Since returns the update that carries a process from a revision to the
-// present: a delta if all that was deleted since is remembered, else all.
+// Since returns the update from a revision to the current one. It is a delta if all deletions since
+// that revision are still remembered, and the full configuration otherwise.
 func (s *State) Since(from config.Revision) config.Update {
 	update := config.Update{From: from, To: s.set.Revision()}
-	if (from == config.Revision{}) || from.Before(s.forgotten) {
+	if (from == config.Revision{}) || from.Before(s.prunedRevision) {
 		return s.set.Full()
 	}
 	for _, object := range s.set.Objects() {
@@ -231,15 +235,15 @@
 			update.Put = append(update.Put, object)
 		}
 	}
-	for _, gone := range s.deletions {
-		if _, back := s.set.Get(gone.Key); from.Before(gone.Revision) && !back {
-			update.Delete = append(update.Delete, gone.Key)
+	for _, deleted := range s.deletions {
+		if _, back := s.set.Get(deleted.Key); from.Before(deleted.Revision) && !back {
+			update.Delete = append(update.Delete, deleted.Key)
 		}
 	}
 	return update
 }
 
-// Save returns the state's bytes for a snapshot.
+// Save serializes the state for a snapshot.
 func (s *State) Save() ([]byte, error) {
 	saved := savedState{
 		Clock:     s.clock,
@@ -254,12 +258,12 @@
 		Extensions: s.extensions,
 		Zones:      s.zones,
 	}
-	data, err := saveMode.Marshal(saved)
+	data, err := stateEncMode.Marshal(saved)
 	return data, errors.Wrap(err, "encoding the state")
 }
 
-// saveMode writes maps in a fixed order, so that equal states give equal bytes.
-var saveMode = func() cbor.EncMode {
+// stateEncMode encodes maps in a deterministic order, so that equal states have equal encodings.
+var stateEncMode = func() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
 	options.Time = cbor.TimeRFC3339NanoUTC
 	mode, err := options.EncMode()
@@ -269,7 +273,7 @@
 	return mode
 }()
 
-// RestoreState returns the state that Save wrote.
+// RestoreState decodes a state written by Save. Empty data gives the initial state.
 func RestoreState(data []byte) (*State, error) {
 	s := NewState()
 	if len(data) == 0 {
@@ -283,7 +287,7 @@
 	s.set = config.NewSet(saved.Revision, saved.Objects)
 	s.deletions = saved.Deletions
 	if len(s.deletions) == maxDeletions {
-		s.forgotten = s.deletions[0].Revision
+		s.prunedRevision = s.deletions[0].Revision
 	}
 	s.answers = saved.Answers
 	for _, answer := range s.answers {
--- a/src/control/view.go
+++ b/src/control/view.go
@@ -7,10 +7,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// view is what a control node knew after one turn of its loop; it does not change. Whoever
-// asks for the version, the members or the leader reads it without waiting for the loop, so
-// that such questions, thousands a second while all gateways come back, take no turn from
-// consensus.
+// view is an immutable copy of what a control node knew after one loop iteration. Readers of the
+// version, members or leader use it instead of calling into the event loop, because thousands of
+// such reads a second, as when all gateways reconnect, would delay consensus.
 type view struct {
 	document   document
 	members    raft.Members
@@ -20,49 +19,49 @@
 	extensions map[string]float64
 	drains     *wire.ZoneDrains
 	quorum     Quorum
-	// sureUntil is until when the node is sure that what it has applied is the newest: it
-	// leads, and its lease lasts. It is the zero time if it is not.
-	sureUntil time.Time
-	// confirmedAt is when a leader last said that nothing newer is committed.
+	// readLeaseUntil is until when the node may treat its applied state as the newest: it leads and
+	// holds a valid lease. It is the zero time otherwise.
+	readLeaseUntil time.Time
+	// confirmedAt is when a leader last confirmed that nothing newer is committed.
 	confirmedAt time.Time
-	// writeBegan is when the write under way was begun, the zero time if there is none.
+	// writeBegan is when the write in progress was started, the zero time if there is none.
 	writeBegan time.Time
 }
 
-// viewOf returns what a replica knows now.
+// viewOf returns a view of a replica's current state.
 func viewOf(r *Replica, now time.Time) *view {
 	return &view{
-		document:   r.state.document,
-		members:    r.core.Members(),
-		leader:     r.core.Leader(),
-		term:       r.core.Term(),
-		ledSince:   r.core.LedSince(),
-		extensions: r.state.extensions,
-		drains:     r.state.drains,
-		quorum:     quorumOf(r, now),
-		sureUntil:  r.core.ReadSafeUntil(),
+		document:       r.state.document,
+		members:        r.core.Members(),
+		leader:         r.core.Leader(),
+		term:           r.core.Term(),
+		ledSince:       r.core.LedSince(),
+		extensions:     r.state.extensions,
+		drains:         r.state.drains,
+		quorum:         quorumOf(r, now),
+		readLeaseUntil: r.core.ReadSafeUntil(),
 
 		confirmedAt: r.core.Confirmed(),
 		writeBegan:  r.core.WriteBegan(),
 	}
 }
 
-// sure reports whether what the node has applied is the newest accepted.
-func (v *view) sure(now time.Time) bool { return now.Before(v.sureUntil) }
+// hasReadLease reports whether the applied state is guaranteed to be the newest accepted one.
+func (v *view) hasReadLease(now time.Time) bool { return now.Before(v.readLeaseUntil) }
 
-// confirmed returns when what the node has applied was last known to be the newest
-// accepted, the zero time if it never was.
+// confirmed returns when the applied state was last known to be the newest accepted one, the zero
+// time if never.
 func (v *view) confirmed(now time.Time) time.Time {
 	switch {
-	case v.sure(now):
+	case v.hasReadLease(now):
 		return now
-	case v.sureUntil.After(v.confirmedAt):
-		return v.sureUntil
+	case v.readLeaseUntil.After(v.confirmedAt):
+		return v.readLeaseUntil
 	}
 	return v.confirmedAt
 }
 
-// held returns the document that the node has applied.
-func (v *view) held() wire.Document {
+// appliedDocument returns the document that the node has applied.
+func (v *view) appliedDocument() wire.Document {
 	return wire.Document{Known: v.document.Version > 0, Version: v.document.Version, Packed: v.document.Packed}
 }
--- a/src/control/view_test.go
+++ b/src/control/view_test.go
@@ -9,9 +9,9 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// TestQuestionsDoNotWaitForTheLoop: gateways' streams, reports of demand and orders asked
-// the loop of consensus for version, members and leader, and waited for its disk.
-func TestQuestionsDoNotWaitForTheLoop(t *testing.T) {
+// Gateway streams, demand reports and orders used to read version, members and leader through the
+// event loop, and so waited for its disk.
+func TestReadsDoNotWaitForTheEventLoop(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
 	n := tc.nodes[tc.seeds[0]]
@@ -34,34 +34,34 @@
 	select {
 	case <-answered:
 	case <-time.After(10 * time.Second):
-		t.Error("the questions wait for the loop")
+		t.Error("reads wait for the event loop")
 	}
 	close(release)
 	<-answered
 }
 
-// TestAViewIsSureOnlyWhileTheLeaseLasts, whoever holds it for how long.
-func TestAViewIsSureOnlyWhileTheLeaseLasts(t *testing.T) {
+// A view that is kept for longer than the lease must not be treated as the newest.
+func TestViewHasReadLeaseOnlyUntilItExpires(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
-	v := &view{sureUntil: noon}
-	is.True(v.sure(noon.Add(-1)))
-	is.True(!v.sure(noon))
-	is.True(!(&view{}).sure(noon))
+	v := &view{readLeaseUntil: noon}
+	is.True(v.hasReadLease(noon.Add(-1)))
+	is.True(!v.hasReadLease(noon))
+	is.True(!(&view{}).hasReadLease(noon))
 }
 
-// TestALeaderWhoseLeaseEndedIsCertainUntilThen, not as of when it last followed.
-func TestALeaderWhoseLeaseEndedIsCertainUntilThen(t *testing.T) {
+// The lease end is later than the last time this node confirmed its state as a follower.
+func TestConfirmedIsTheLeaseEndOnceTheLeaseHasExpired(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
-	v := &view{sureUntil: noon, confirmedAt: noon.Add(-time.Hour)}
+	v := &view{readLeaseUntil: noon, confirmedAt: noon.Add(-time.Hour)}
 	is.Equal(v.confirmed(noon.Add(-1)), noon.Add(-1))
 	is.Equal(v.confirmed(noon.Add(time.Second)), noon)
 	is.Equal((&view{confirmedAt: noon}).confirmed(noon.Add(time.Second)), noon)
 }
 
-// TestALeaderThatGivesUpKeepsItsCertainty until when it had it.
-func TestALeaderThatGivesUpKeepsItsCertainty(t *testing.T) {
+// A leader that steps down keeps the end of its lease as its confirmed time.
+func TestDeposedLeaderKeepsItsConfirmedTime(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
 	core := leadingCore(noon, raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}})
--- a/src/control/watch.go
+++ b/src/control/watch.go
@@ -11,15 +11,15 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// deltaCache keeps the encoded updates to the present revision: most
-// subscribers stand at the same revision and share one.
+// deltaCache caches encoded updates to the current revision. Most subscribers are at the same
+// revision and share one update.
 type deltaCache struct {
 	mu   sync.Mutex
 	to   config.Revision
 	from map[config.Revision]json.RawMessage
 }
 
-// maxDeltas bounds the cached updates.
+// maxDeltas limits the number of cached updates.
 const maxDeltas = 64
 
 func (c *deltaCache) get(from, to config.Revision, make func() config.Update) (json.RawMessage, error) {
@@ -43,7 +43,8 @@
 	return raw, nil
 }
 
-// updateFrom returns the encoded update from a revision to the present, nil if there is none.
+// updateFrom returns the encoded update from a revision to the current one, nil if there is no
+// newer revision.
 func (s *Service) updateFrom(from config.Revision) (json.RawMessage, config.Revision, error) {
 	var set *config.Set
 	var state *State
@@ -70,8 +71,8 @@
 	return raw, err
 }
 
-// watch sends the subscriber every move of the configuration from now on; moves
-// that come faster than it takes them are sent together.
+// watch sends the subscriber every configuration change from now on. Changes that come faster than
+// the subscriber reads are combined into one update.
 func (s *Service) watch(_ context.Context, peer *rpc.Peer, request wire.ConfigRequest) (wire.Empty, error) {
 	if peer == nil {
 		return wire.Empty{}, rpc.ErrUnreachable
--- a/src/control/zone.go
+++ b/src/control/zone.go
@@ -7,29 +7,31 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// zoneCommand drains an availability zone, or ends that, if the zone was not ordered about since
-// Base. An order that finds the zone so already is accepted and changes nothing.
+// zoneCommand drains an availability zone, or ends its drain, provided that the zone's revision is
+// still Base. If the zone already is in the requested state, the command is accepted and changes
+// nothing.
 type zoneCommand struct {
 	Zone  string `cbor:"1,keyasint"`
 	Drain bool   `cbor:"2,keyasint"`
 	Base  uint64 `cbor:"3,keyasint"`
 }
 
-// kind returns what all orders like this one have in common.
-func (c *zoneCommand) kind() zoneCommand { return zoneCommand{Zone: c.Zone, Drain: c.Drain} }
+// withoutBase returns the order without its base revision, the same for all orders of this kind.
+func (c *zoneCommand) withoutBase() zoneCommand { return zoneCommand{Zone: c.Zone, Drain: c.Drain} }
 
-// zoneState is what was ordered about one zone.
+// zoneState is the drain state of one zone.
 type zoneState struct {
 	Drained bool `cbor:"1,keyasint"`
-	// Revision is that of the last order that changed the zone, Changes is how many did.
+	// Revision is the revision of the last order that changed the zone. Changes is the number of
+	// such orders.
 	Revision uint64 `cbor:"2,keyasint"`
 	Changes  uint64 `cbor:"3,keyasint"`
 }
 
-// zoneStates are the zones that were ever ordered about. The map is replaced and never changed.
+// zoneStates holds every zone that has ever been drained. The map is copied on write.
 type zoneStates map[string]zoneState
 
-// revision returns that of the newest order that changed a zone.
+// revision returns the highest revision of any zone.
 func (z zoneStates) revision() uint64 {
 	newest := uint64(0)
 	for _, state := range z {
@@ -38,19 +40,20 @@
 	return newest
 }
 
-// drains returns what others are told of the zones.
+// drains returns the drained zones in sorted order.
 func (z zoneStates) drains() *wire.ZoneDrains {
-	told := &wire.ZoneDrains{Revision: z.revision()}
+	summary := &wire.ZoneDrains{Revision: z.revision()}
 	for _, zone := range slices.Sorted(maps.Keys(z)) {
 		if z[zone].Drained {
-			told.Zones = append(told.Zones, zone)
+			summary.Zones = append(summary.Zones, zone)
 		}
 	}
-	return told
+	return summary
 }
 
-// given returns the kinds of order that have changed a zone: the first one drained it.
-func (z zoneStates) given() []zoneCommand {
+// changeOrders returns the orders that have changed a zone, without their bases. The first change
+// of any zone is a drain.
+func (z zoneStates) changeOrders() []zoneCommand {
 	var orders []zoneCommand
 	for zone, state := range z {
 		orders = append(orders, zoneCommand{Zone: zone, Drain: true})
@@ -63,9 +66,9 @@
 
 func (s *State) applyZone(cmd *zoneCommand) result {
 	state := s.zones[cmd.Zone]
-	done := result{outcome: wire.Accepted, ordered: cmd}
+	accepted := result{outcome: wire.Accepted, zoneOrder: cmd}
 	if state.Drained == cmd.Drain {
-		return done
+		return accepted
 	}
 	if state.Revision != cmd.Base {
 		return result{outcome: wire.Refused, raced: true, reason: "another order about the zone came between"}
@@ -74,5 +77,5 @@
 	next[cmd.Zone] = zoneState{Drained: cmd.Drain, Revision: s.zones.revision() + 1, Changes: state.Changes + 1}
 	s.zones = next
 	s.drains = next.drains()
-	return done
+	return accepted
 }
--- a/src/control/zone_test.go
+++ b/src/control/zone_test.go
@@ -15,47 +15,48 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// resendFor is for how long the tests' operators send an order again.
-const resendFor = 5 * time.Second
+// resendDuration is how long the operators in these tests resend an order.
+const resendDuration = 5 * time.Second
 
-// zoneWorld is a simulated cluster with operators who order about one zone.
-type zoneWorld struct {
+// zoneSim is a simulated cluster with operators that send orders for one zone.
+type zoneSim struct {
 	*sim
-	events []zoneEvent
-	// causes names the operators' orders by the entries that carry their copies.
-	causes map[[2]uint64]*zoneCase
-	orders []*zoneCase
+	events []scheduledEvent
+	// ordersByEntry maps the term and index of an entry to the order whose copy it carries.
+	ordersByEntry map[[2]uint64]*operatorOrder
+	orders        []*operatorOrder
 }
 
-type zoneEvent struct {
+// scheduledEvent is an action at a point in virtual time.
+type scheduledEvent struct {
 	at time.Time
 	do func()
 }
 
-// zoneCase is one order of an operator, with all its copies.
-type zoneCase struct {
-	number  int
-	drain   bool
-	first   time.Time
-	acked   time.Time
-	changed int
+// operatorOrder is one order of an operator, including all its copies.
+type operatorOrder struct {
+	number      int
+	drain       bool
+	firstSentAt time.Time
+	ackedAt     time.Time
+	changes     int
 }
 
-func newZoneWorld(t reporter, seed uint64) *zoneWorld {
-	w := &zoneWorld{sim: newSim(t, seed, "a", "b", "c"), causes: map[[2]uint64]*zoneCase{}}
-	w.every = 1 << 30
+func newZoneSim(t reporter, seed uint64) *zoneSim {
+	w := &zoneSim{sim: newSim(t, seed, "a", "b", "c"), ordersByEntry: map[[2]uint64]*operatorOrder{}}
+	w.entryLimit = 1 << 30
 	for _, n := range w.nodes {
-		n.replica.every = w.every
+		n.replica.entryLimit = w.entryLimit
 	}
 	return w
 }
 
-func (w *zoneWorld) after(d time.Duration, do func()) {
-	w.events = append(w.events, zoneEvent{at: w.now.Add(d), do: do})
+func (w *zoneSim) schedule(d time.Duration, do func()) {
+	w.events = append(w.events, scheduledEvent{at: w.now.Add(d), do: do})
 }
 
-// pass lets virtual time pass with what is planned.
-func (w *zoneWorld) pass(d time.Duration) {
+// runScheduled advances virtual time and runs the scheduled events.
+func (w *zoneSim) runScheduled(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.run(simStep)
 		sort.SliceStable(w.events, func(i, j int) bool { return w.events[i].at.Before(w.events[j].at) })
@@ -67,61 +68,62 @@
 	}
 }
 
-// order lets an operator order, and send that again until it is acknowledged or its time is over.
-// held returns how long each copy lies on its way to the leader.
-func (w *zoneWorld) order(drain bool, held func() time.Duration) *zoneCase {
-	c := &zoneCase{number: len(w.orders), drain: drain, first: w.now}
+// order sends an operator's order and resends it until it is acknowledged or resendDuration has
+// passed. delay returns the transit time of each copy to the leader.
+func (w *zoneSim) order(drain bool, delay func() time.Duration) *operatorOrder {
+	c := &operatorOrder{number: len(w.orders), drain: drain, firstSentAt: w.now}
 	w.orders = append(w.orders, c)
 	var send func()
 	send = func() {
-		if !c.acked.IsZero() || w.now.Sub(c.first) > resendFor {
+		if !c.ackedAt.IsZero() || w.now.Sub(c.firstSentAt) > resendDuration {
 			return
 		}
-		w.copyOf(c, held())
-		w.after(time.Duration(200+w.random.IntN(700))*time.Millisecond, send)
+		w.sendCopy(c, delay())
+		w.schedule(time.Duration(200+w.random.IntN(700))*time.Millisecond, send)
 	}
 	send()
 	return c
 }
 
-// copyOf sends one copy, as a control node that passes it on to the leader does.
-func (w *zoneWorld) copyOf(c *zoneCase, held time.Duration) {
+// sendCopy sends one copy, like a control node that forwards it to the leader.
+func (w *zoneSim) sendCopy(c *operatorOrder, delay time.Duration) {
 	n := w.leader()
-	if n == nil || n.replica == nil || w.now.Before(n.frozenTo) {
+	if n == nil || n.replica == nil || w.now.Before(n.frozenUntil) {
 		return
 	}
 	now := w.clock(n)
 	ticket := wire.ZoneTicket{Known: true, Term: n.replica.core.Term(), Revision: n.replica.state.zones["z"].Revision, IssuedMS: now.UnixMilli()}
-	w.after(held, func() { w.arrive(n, c, wire.ZoneOrder{Zone: "z", Drain: c.drain, Ticket: ticket}) })
+	w.schedule(delay, func() { w.arrive(n, c, wire.ZoneOrder{Zone: "z", Drain: c.drain, Ticket: ticket}) })
 }
 
-func (w *zoneWorld) arrive(n *simNode, c *zoneCase, order wire.ZoneOrder) {
+func (w *zoneSim) arrive(n *simNode, c *operatorOrder, order wire.ZoneOrder) {
 	if n.replica == nil {
 		return
 	}
-	if w.now.Before(n.frozenTo) {
-		w.after(n.frozenTo.Sub(w.now)+simStep, func() { w.arrive(n, c, order) })
+	if w.now.Before(n.frozenUntil) {
+		w.schedule(n.frozenUntil.Sub(w.now)+simStep, func() { w.arrive(n, c, order) })
 		return
 	}
 	now, r := w.clock(n), n.replica
-	if r.holdsBack(now, &order, resendFor).reason != "" {
+	if r.deferral(now, &order, resendDuration).reason != "" {
 		return
 	}
 	lost := w.random.IntN(2) == 0
 	last := r.core.LastIndex()
 	r.proposeZone(now, &order, func(got result, err error) {
-		if err == nil && got.outcome == wire.Accepted && !lost && c.acked.IsZero() {
-			c.acked = w.now
+		if err == nil && got.outcome == wire.Accepted && !lost && c.ackedAt.IsZero() {
+			c.ackedAt = w.now
 		}
 	})
 	if r.core.LastIndex() > last {
-		// A leader that has given up takes no order; its last entry is another one's.
-		w.causes[[2]uint64{r.core.Term(), r.core.LastIndex()}] = c
+		// A former leader rejects the order, and its last entry belongs to another one.
+		w.ordersByEntry[[2]uint64{r.core.Term(), r.core.LastIndex()}] = c
 	}
 }
 
-// count counts how often each order changed the zone, by the log of a node that has all of it.
-func (w *zoneWorld) count() *State {
+// countChanges counts how often each order changed the zone, from the log of a node that has all
+// entries.
+func (w *zoneSim) countChanges() *State {
 	var log []raft.Entry
 	for _, n := range w.nodes {
 		if n.replica != nil && len(n.disk.start.Entries) > len(log) && n.replica.core.Commit() >= uint64(len(n.disk.start.Entries)) {
@@ -133,93 +135,93 @@
 		before := state.drains.Revision
 		state.Apply(entry)
 		if state.drains.Revision != before {
-			w.causes[[2]uint64{entry.Term, entry.Index}].changed++
+			w.ordersByEntry[[2]uint64{entry.Term, entry.Index}].changes++
 		}
 	}
 	return state
 }
 
-// TestACopyOfAZoneOrderChangesNothing: whatever was lost, delayed or repeated on the way, each
-// operator's order changes the zone once at most, and a late copy never undoes the opposite one.
+// Whatever is lost, delayed or repeated in transit, each order changes the zone at most once, and a
+// late copy never reverses the opposite order.
 func TestACopyOfAZoneOrderChangesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newZoneWorld(rt, rapid.Uint64().Draw(rt, "seed"))
-		w.pass(time.Second)
-		held := func() time.Duration {
+		w := newZoneSim(rt, rapid.Uint64().Draw(rt, "seed"))
+		w.runScheduled(time.Second)
+		delay := func() time.Duration {
 			if w.random.IntN(3) > 0 {
 				return time.Duration(w.random.IntN(20)) * time.Millisecond
 			}
 			return time.Duration(w.random.IntN(12000)) * time.Millisecond
 		}
 		for range rapid.IntRange(2, 8).Draw(rt, "orders") {
-			w.order(rapid.Bool().Draw(rt, "drain"), held)
+			w.order(rapid.Bool().Draw(rt, "drain"), delay)
 			switch rapid.IntRange(0, 5).Draw(rt, "fault") {
 			case 0:
 				if n := w.leader(); n != nil {
 					name := nameOf(n.id)
 					w.kill(name)
-					w.after(time.Duration(rapid.IntRange(50, 2000).Draw(rt, "away"))*time.Millisecond, func() { w.boot(name) })
+					w.schedule(time.Duration(rapid.IntRange(50, 2000).Draw(rt, "away"))*time.Millisecond, func() { w.boot(name) })
 				}
 			case 1:
 				if n := w.leader(); n != nil {
-					n.frozenTo = w.now.Add(time.Duration(rapid.IntRange(100, 8000).Draw(rt, "frozen")) * time.Millisecond)
+					n.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(100, 8000).Draw(rt, "frozen")) * time.Millisecond)
 				}
 			}
-			w.pass(time.Duration(rapid.IntRange(50, 6000).Draw(rt, "pause")) * time.Millisecond)
+			w.runScheduled(time.Duration(rapid.IntRange(50, 6000).Draw(rt, "pause")) * time.Millisecond)
 		}
-		w.pass(20 * time.Second)
-		w.count()
+		w.runScheduled(20 * time.Second)
+		w.countChanges()
 		for _, c := range w.orders {
-			if c.changed > 1 {
-				rt.Fatalf("order %d (drain %v) changed the zone %d times", c.number, c.drain, c.changed)
+			if c.changes > 1 {
+				rt.Fatalf("order %d (drain %v) changed the zone %d times", c.number, c.drain, c.changes)
 			}
 		}
 	})
 }
 
-// TestAZoneOrderIsCarriedOutThoughItsAnswersAreLost: the one that changed the zone is the first;
-// a later order of the same kind, after the opposite one, is put off at most until no copy of the
-// first one is sent any more.
-func TestAZoneOrderIsCarriedOutThoughItsAnswersAreLost(t *testing.T) {
+// The first copy changes the zone even if its reply is lost. A later order of the same kind, after
+// the opposite one, is deferred at most until no copy of the first order is sent any more.
+func TestZoneOrderTakesEffectDespiteLostReplies(t *testing.T) {
 	is := is.New(t)
-	w := newZoneWorld(t, 3)
+	w := newZoneSim(t, 3)
 	at := func() time.Duration { return time.Millisecond }
-	w.pass(time.Second)
+	w.runScheduled(time.Second)
 	w.order(true, at)
-	w.pass(resendFor)
+	w.runScheduled(resendDuration)
 	w.order(false, at)
-	w.pass(resendFor + time.Second)
+	w.runScheduled(resendDuration + time.Second)
 	again := w.order(true, at)
-	w.pass(resendFor + time.Second)
-	is.True(!again.acked.IsZero())
-	is.Equal(w.count().drains.Zones, []string{"z"})
+	w.runScheduled(resendDuration + time.Second)
+	is.True(!again.ackedAt.IsZero())
+	is.Equal(w.countChanges().drains.Zones, []string{"z"})
 }
 
-// TestALateCopyOfAZoneOrder: the operator drained a zone, its answer was lost, and ended the drain;
-// the copies that come after that, through a leader who knows and through a new one, drain nothing.
+// The operator drained a zone, did not get the reply, and ended the drain. A copy of the drain
+// order that arrives later must not drain the zone, neither through the same leader nor through a
+// new one.
 func TestALateCopyOfAZoneOrder(t *testing.T) {
 	for _, newLeader := range []bool{false, true} {
 		is := is.New(t)
-		w := newZoneWorld(t, 5)
-		w.pass(time.Second)
+		w := newZoneSim(t, 5)
+		w.runScheduled(time.Second)
 		drained := w.order(true, func() time.Duration { return time.Millisecond })
-		w.pass(100 * time.Millisecond)
+		w.runScheduled(100 * time.Millisecond)
 		w.order(false, func() time.Duration { return time.Millisecond })
-		w.pass(time.Second)
+		w.runScheduled(time.Second)
 		if newLeader {
 			name := nameOf(w.leader().id)
 			w.kill(name)
-			w.pass(2 * time.Second)
+			w.runScheduled(2 * time.Second)
 			w.boot(name)
 		}
-		drained.acked = time.Time{}
-		w.copyOf(drained, time.Millisecond)
-		w.pass(time.Second)
-		is.Equal(len(w.count().drains.Zones), 0)
+		drained.ackedAt = time.Time{}
+		w.sendCopy(drained, time.Millisecond)
+		w.runScheduled(time.Second)
+		is.Equal(len(w.countChanges().drains.Zones), 0)
 	}
 }
 
-// TestADrainIsKnownAfterALossOfPowerWithoutALeader: it is acknowledged like a configuration.
+// A drain is settled before it is acknowledged, like a configuration.
 func TestADrainIsKnownAfterALossOfPowerWithoutALeader(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
@@ -228,15 +230,15 @@
 	for _, zone := range []string{"x", "y"} {
 		tc.drain(first, zone)
 	}
-	is.True(len(tc.drainedAlone("x", "y")) >= 2)
+	is.True(len(tc.drainedAfterPowerLoss("x", "y")) >= 2)
 }
 
-// TestTheMajorityThatAcknowledgedADrainKnowsIt after a loss of power, whichever node was cut off and
-// whenever; the one that was cut off may know nothing, which is all that the promise leaves out.
-//
-// A run of TestADrainIsKnownAfterALossOfPowerWithoutALeader beside load waited in vain for one of three
-// nodes to apply a version. Evidence that it was one that lagged, and not one that acknowledged: here the
-// node cut off before the first change never applies one, and the other two always know both orders.
+// The nodes that acknowledged a drain know it after a power loss, whichever node was isolated
+// before or after the first change; only the isolated node may know nothing. A run of
+// TestADrainIsKnownAfterALossOfPowerWithoutALeader under load once timed out waiting for one of the
+// three nodes to apply a version. That node lagged behind and had acknowledged nothing: here the
+// node isolated before the first change never applies one, and the other two always know both
+// orders.
 func TestTheMajorityThatAcknowledgedADrainKnowsIt(t *testing.T) {
 	for cut := range 3 {
 		for _, late := range []bool{false, true} {
@@ -253,14 +255,14 @@
 				tc.drain(first, "x")
 			}
 			tc.drain(first, "y")
-			know := tc.drainedAlone("x", "y")
+			know := tc.drainedAfterPowerLoss("x", "y")
 			is.True(know[tc.seeds[(cut+1)%3]])
 			is.True(know[tc.seeds[(cut+2)%3]])
 		}
 	}
 }
 
-// drain sends an order to a node again and again until it is acknowledged.
+// drain sends an order to a node until it is acknowledged.
 func (tc *testCluster) drain(n *clusterNode, zone string) {
 	tc.t.Helper()
 	tc.eventually("the order is acknowledged", func() bool {
@@ -280,12 +282,12 @@
 	tc.nodes[address].cut.Set(others)
 }
 
-// drainedAlone takes the power from all nodes, starts each by itself on its folder and returns those
-// that know zones to be drained though no leader can be elected.
-func (tc *testCluster) drainedAlone(zones ...string) map[string]bool {
+// drainedAfterPowerLoss stops all nodes, restarts each in isolation and returns the addresses of
+// those that know all given zones to be drained without a leader.
+func (tc *testCluster) drainedAfterPowerLoss(zones ...string) map[string]bool {
 	tc.t.Helper()
 	know := map[string]bool{}
-	tc.eachAlone(func(n *clusterNode) {
+	tc.restartEachAlone(func(n *clusterNode) {
 		drains := n.cluster.Drains()
 		all := true
 		for _, zone := range zones {
@@ -298,8 +300,8 @@
 	return know
 }
 
-// TestDrainsOutlastASnapshot, and states without them are read as before.
-func TestDrainsOutlastASnapshot(t *testing.T) {
+// Drains are part of a snapshot, and snapshots without drains remain readable.
+func TestDrainsSurviveSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	for i, drain := range []bool{true, false, true} {
@@ -320,16 +322,16 @@
 	is.Equal(restored.drains.Revision, uint64(0))
 }
 
-// TestOrdersAndSnapshotsKeepTheirForm: later builds read the logs and snapshots of this one, and
-// control nodes of both run side by side.
-func TestOrdersAndSnapshotsKeepTheirForm(t *testing.T) {
+// Later builds read the logs and snapshots of this one, and control nodes of both versions run side
+// by side.
+func TestEncodingOfOrdersAndSnapshotsIsStable(t *testing.T) {
 	is := is.New(t)
 	order, err := command{At: time.Unix(1_800_000_000, 0).UTC(), Zone: &zoneCommand{Zone: "x", Drain: true, Base: 3}}.encode()
 	is.NoErr(err)
 	is.Equal(hex.EncodeToString(order), "a2011a6b49d20008a301617802f50303")
 	s := NewState()
 	s.zones = zoneStates{"x": {Drained: true, Revision: 3, Changes: 3}, "y": {Revision: 2, Changes: 2}}
-	saved, err := saveMode.Marshal(map[int]any{10: s.zones})
+	saved, err := stateEncMode.Marshal(map[int]any{10: s.zones})
 	is.NoErr(err)
 	is.Equal(hex.EncodeToString(saved), "a10aa26178a301f5020303036179a301f402020302")
 	restored, err := RestoreState(saved)
