--- a/soak/accounts_test.go
+++ b/soak/accounts_test.go
@@ -13,13 +13,13 @@
 	h.Set(accountHeader, account)
 	h.Set(sentHeader, strconv.FormatInt(sent.UnixNano(), 10))
 	if version != "" {
-		h.Set(turningHeader, version)
+		h.Set(keyVersionHeader, version)
 	}
 	return h
 }
 
-// TestTheAccountChecksFindWhatIsBroken: each promise, broken by hand, is reported.
-func TestTheAccountChecksFindWhatIsBroken(t *testing.T) {
+// TestAccountChecksReportViolations checks that a violation of each account rule is reported.
+func TestAccountChecksReportViolations(t *testing.T) {
 	now := time.Now()
 	withKey := headerOf(mainAccount, "", now)
 	withKey.Set(keyHeader, mainKey)
@@ -27,22 +27,22 @@
 		"got the key":      withKey,
 		"got the accounts": headerOf("forged", "", now),
 		"ran for main":     headerOf(mainAccount, "3", now),
-		"taken away":       headerOf(turningAccount, "3", now.Add(trust+time.Second)),
+		"taken away":       headerOf(versionedAccount, "3", now.Add(trustPeriod+time.Second)),
 	} {
 		a := newAccountChecks()
 		a.acked(4, now)
-		if got := a.see(header, now, true); !strings.Contains(got, want) {
+		if got := a.check(header, now, true); !strings.Contains(got, want) {
 			t.Errorf("%q found: %q", want, got)
 		}
 	}
 	a := newAccountChecks()
 	a.acked(4, now)
-	if got := a.see(headerOf(turningAccount, "3", now.Add(trust/2)), now, true); got != "" {
+	if got := a.check(headerOf(versionedAccount, "3", now.Add(trustPeriod/2)), now, true); got != "" {
 		t.Error(got)
 	}
 	found := ""
 	for range 200 {
-		if got := a.see(headerOf(limitedAccount, "", now), now, true); got != "" {
+		if got := a.check(headerOf(limitedAccount, "", now), now, true); got != "" {
 			found = got
 		}
 	}
@@ -51,18 +51,19 @@
 	}
 }
 
-// TestWhatIsTurnedAwayCountsForNoLimit, and its headers are checked all the same.
-func TestWhatIsTurnedAwayCountsForNoLimit(t *testing.T) {
+// TestRefusedRequestsDoNotCountAgainstLimit checks that a request that its replica refuses is left
+// out of the limit while its headers are still checked.
+func TestRefusedRequestsDoNotCountAgainstLimit(t *testing.T) {
 	now := time.Now()
 	a := newAccountChecks()
 	for range 1000 {
-		if got := a.see(headerOf(limitedAccount, "", now), now, false); got != "" {
+		if got := a.check(headerOf(limitedAccount, "", now), now, false); got != "" {
 			t.Fatal(got)
 		}
 	}
 	leaked := headerOf(limitedAccount, "", now)
 	leaked.Set(keyHeader, "k")
-	if a.see(leaked, now, false) == "" {
+	if a.check(leaked, now, false) == "" {
 		t.Error("a key that reached a replica was not found")
 	}
 }
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// maxFindings bounds the findings that are printed of one kind.
+// maxFindings limits the printed findings of each kind.
 const maxFindings = 5
 
-// checker holds what callers and replicas saw and what it breaks.
+// checker records what clients, operators and replicas observe, and the rules that this violates.
 type checker struct {
 	mu sync.Mutex
-	// bounds is set if what came too late counts.
-	bounds bool
-	broken map[string][]string
-	counts map[string]int
-	// runs are the replicas that ran each request that may run once.
+	// timeBounds enables the checks of time limits.
+	timeBounds bool
+	violations map[string][]string
+	counts     map[string]int
+	// runs lists, for each request that must run at most once, the replicas that ran it.
 	runs map[string][]string
-	// promised are the requests of which a client was told that they did not run.
-	promised map[string]int
-	// drained holds when a replica's leaving was acknowledged.
-	drained map[string]time.Time
-	// acked is the highest acknowledged version, with when.
+	// reportedNotRun holds the status of each request whose client was told that it did not run.
+	reportedNotRun map[string]int
+	// drainAckedAt holds when the draining of each replica was acknowledged.
+	drainAckedAt map[string]time.Time
+	// acked is the highest acknowledged version, ackedAt when it was acknowledged.
 	acked   uint64
 	ackedAt time.Time
 	sent    map[uint64]string
-	// accounts check what replicas see of client accounts.
+	// accounts checks what replicas see of client accounts.
 	accounts *accountChecks
 }
 
 func newChecker() *checker {
 	return &checker{
-		broken: map[string][]string{}, counts: map[string]int{}, runs: map[string][]string{},
-		promised: map[string]int{}, drained: map[string]time.Time{}, sent: map[uint64]string{},
+		violations: map[string][]string{}, counts: map[string]int{}, runs: map[string][]string{},
+		reportedNotRun: map[string]int{}, drainAckedAt: map[string]time.Time{}, sent: map[uint64]string{},
 		accounts: newAccountChecks(),
 	}
 }
 
-// fail notes something that broke a promise.
+// fail records a violated rule.
 func (c *checker) fail(kind, format string, arguments ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,25 +48,25 @@
 
 func (c *checker) failLocked(kind, format string, arguments ...any) {
 	at := time.Now().Format("15:04:05.000 ")
-	c.broken[kind] = append(c.broken[kind], at+fmt.Sprintf(format, arguments...))
+	c.violations[kind] = append(c.violations[kind], at+fmt.Sprintf(format, arguments...))
 }
 
-// late notes that something came later than promised.
+// late records a violated time limit, if time limits are checked.
 func (c *checker) late(kind, format string, arguments ...any) {
-	if c.bounds {
+	if c.timeBounds {
 		c.fail(kind, format, arguments...)
 	}
 }
 
-// count counts something that was seen.
+// count increments the counter of an event.
 func (c *checker) count(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[what]++
 }
 
-// ran notes that a replica begins a request that may run once.
-func (c *checker) ran(id, replica string) {
+// recordRun records that a replica starts to run a request that must run at most once.
+func (c *checker) recordRun(id, replica string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[id] = append(c.runs[id], replica)
@@ -75,45 +75,45 @@
 	}
 }
 
-// account checks what a replica sees of a request's client account; runs says whether it runs the
-// request.
-func (c *checker) account(id string, header http.Header, runs bool) {
-	if broken := c.accounts.see(header, time.Now(), runs); broken != "" {
+// checkAccount checks the client account that a request reached a replica with; runs reports whether
+// the replica runs the request.
+func (c *checker) checkAccount(id string, header http.Header, runs bool) {
+	if broken := c.accounts.check(header, time.Now(), runs); broken != "" {
 		c.fail("account", "request %s: %s", id, broken)
 	}
 }
 
-// promise notes that a client was told that its request has not run and never will.
-func (c *checker) promise(id string, status int) {
+// recordNotRun records that a client was told that its request did not run and never will.
+func (c *checker) recordNotRun(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.promised[id] = status
+	c.reportedNotRun[id] = status
 }
 
-// drain notes that a replica's leaving was acknowledged.
-func (c *checker) drain(replica string) {
+// recordDrain records that the draining of a replica was acknowledged.
+func (c *checker) recordDrain(replica string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drained[replica].IsZero() {
-		c.drained[replica] = time.Now()
+	if c.drainAckedAt[replica].IsZero() {
+		c.drainAckedAt[replica] = time.Now()
 	}
 }
 
-func (c *checker) drainedAt(replica string) time.Time {
+func (c *checker) drainAcknowledgedAt(replica string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.drained[replica]
+	return c.drainAckedAt[replica]
 }
 
-// send notes a version's content before it goes out.
-func (c *checker) send(version uint64, body string) {
+// recordSent records the content of a version before it is sent.
+func (c *checker) recordSent(version uint64, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sent[version] = body
 }
 
-// ack notes that a version was acknowledged.
-func (c *checker) ack(version uint64) {
+// recordAcknowledged records that a version was acknowledged.
+func (c *checker) recordAcknowledged(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["acknowledged versions"]++
@@ -123,33 +123,33 @@
 	}
 }
 
-// newest returns the highest acknowledged version, with when it was.
+// newest returns the highest acknowledged version and when it was acknowledged.
 func (c *checker) newest() (uint64, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.acked, c.ackedAt
 }
 
-// content returns what was sent under a version.
+// content returns what was sent as a version.
 func (c *checker) content(version uint64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sent[version]
 }
 
-// finish checks what can be told only at the end.
-func (c *checker) finish(in *installation) {
+// checkAtEnd runs the checks that are possible only after the run.
+func (c *checker) checkAtEnd(in *installation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, status := range c.promised {
+	for id, status := range c.reportedNotRun {
 		if runs := c.runs[id]; len(runs) > 0 {
 			c.failLocked("false promise", "request %s was answered %d and ran at %v", id, status, runs)
 		}
 	}
 	for _, m := range in.members {
 		m.mu.Lock()
-		if m.ownEnds > 0 {
-			c.failLocked("own end", "%s ended by itself %d times", m.name, m.ownEnds)
+		if m.unexpectedExits > 0 {
+			c.failLocked("own end", "%s ended by itself %d times", m.name, m.unexpectedExits)
 		}
 		m.mu.Unlock()
 	}
@@ -159,7 +159,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []string
-	for kind, list := range c.broken {
+	for kind, list := range c.violations {
 		for i, text := range list {
 			if i == maxFindings {
 				all = append(all, fmt.Sprintf("%s: %d more", kind, len(list)-i))
--- a/soak/clients.go
+++ b/soak/clients.go
@@ -14,41 +14,41 @@
 	"github.com/pkg/errors"
 )
 
-// The clients' numbers.
+// Load and time limits of the clients.
 const (
-	clientsEach = 3
-	clientPause = 15 * time.Millisecond
-	// applyTime is how long after its acknowledgement a version must be in force
-	// at gateways that were calm for contactTime.
-	applyTime   = 2 * time.Second
+	clientsPerGateway = 3
+	clientPause       = 15 * time.Millisecond
+	// applyLimit is how long after its acknowledgement a version must be in force at gateways that
+	// have been free of faults for contactTime.
+	applyLimit  = 2 * time.Second
 	contactTime = 4 * time.Second
-	// probeEvery is how often the version in force at a gateway is looked at.
-	probeEvery = 300 * time.Millisecond
-	// deadline is how long a client waits.
-	deadline = 3 * time.Second
+	// probeInterval is the interval at which a gateway is asked for the version in force.
+	probeInterval = 300 * time.Millisecond
+	// clientTimeout is how long a client waits for an answer.
+	clientTimeout = 3 * time.Second
 )
 
-// clients press on every gateway over open connections until they break.
+// clients send requests to every gateway over connections that are kept open until they break.
 type clients struct {
-	in     *installation
-	check  *checker
-	next   atomic.Uint64
-	cancel context.CancelFunc
-	work   sync.WaitGroup
-	recent sync.Map // gateway name → time of its last success
+	in          *installation
+	check       *checker
+	next        atomic.Uint64
+	cancel      context.CancelFunc
+	work        sync.WaitGroup
+	lastSuccess sync.Map // time of the last success by gateway name
 }
 
 func newClients(in *installation, check *checker) *clients {
 	return &clients{in: in, check: check}
 }
 
-// warm waits until every gateway serves.
-func (c *clients) warm() error {
-	client := &http.Client{Timeout: deadline}
+// waitUntilServing waits until every gateway has answered a request.
+func (c *clients) waitUntilServing() error {
+	client := &http.Client{Timeout: clientTimeout}
 	for _, m := range c.in.gatewayNodes() {
 		served := false
 		for range 100 {
-			if status, _, err := c.do(client, m, "s", c.id()); err == nil && status == http.StatusOK {
+			if status, _, err := c.send(client, m, "s", c.id()); err == nil && status == http.StatusOK {
 				served = true
 				break
 			}
@@ -66,19 +66,19 @@
 func (c *clients) run(ctx context.Context, random *rand.Rand) {
 	ctx, c.cancel = context.WithCancel(ctx)
 	c.work.Add(1)
-	go c.pressDeadly(ctx, rand.New(rand.NewPCG(random.Uint64(), 8)))
+	go c.sendCrashing(ctx, rand.New(rand.NewPCG(random.Uint64(), 8)))
 	for _, m := range c.in.gatewayNodes() {
-		for range clientsEach {
+		for range clientsPerGateway {
 			seed := random.Uint64()
 			c.work.Add(1)
-			go c.press(ctx, m, rand.New(rand.NewPCG(seed, 7)))
+			go c.sendRequests(ctx, m, rand.New(rand.NewPCG(seed, 7)))
 		}
-		for range slowEach {
+		for range slowClientsPerGateway {
 			c.work.Add(1)
 			go c.readSlowly(ctx, m)
 		}
 		c.work.Add(1)
-		go c.probe(ctx, m)
+		go c.probeConfigurations(ctx, m)
 	}
 }
 
@@ -87,47 +87,47 @@
 	c.work.Wait()
 }
 
-// press sends requests of all kinds, one after the other.
-func (c *clients) press(ctx context.Context, m *member, random *rand.Rand) {
+// sendRequests sends requests of all kinds, one at a time.
+func (c *clients) sendRequests(ctx context.Context, m *member, random *rand.Rand) {
 	defer c.work.Done()
-	client := &http.Client{Timeout: deadline, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for ctx.Err() == nil {
 		time.Sleep(clientPause)
 		id := c.id()
 		kind := []string{"u", "u", "s", "e"}[random.IntN(4)]
-		status, answer, err := c.do(client, m, kind, id)
-		c.judge(m, kind, id, status, answer, err)
+		status, answer, err := c.send(client, m, kind, id)
+		c.checkAnswer(m, kind, id, status, answer, err)
 	}
 }
 
-// response is an answer's parts that are checked.
+// response holds the parts of an answer that are checked.
 type response struct {
 	stamp string
 	body  string
 	whole bool
 }
 
-func (c *clients) do(client *http.Client, m *member, kind, id string) (int, response, error) {
-	return c.doBody(client, m, kind, id, "body of "+id, rand.IntN(10))
+func (c *clients) send(client *http.Client, m *member, kind, id string) (int, response, error) {
+	return c.sendBody(client, m, kind, id, "body of "+id, rand.IntN(10))
 }
 
-// mainDraw makes carry choose the account without a limit.
-const mainDraw = 9
+// mainAccountDraw makes setAccountHeaders choose the account without a limit.
+const mainAccountDraw = 9
 
-// doBody sends a request with a body; draw chooses the client account.
-func (c *clients) doBody(client *http.Client, m *member, kind, id, sent string, draw int) (int, response, error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+c.in.outer(m, c.in.callPort())+"/"+kind+"/x", strings.NewReader(sent))
+// sendBody sends a request with a body; draw chooses the client account.
+func (c *clients) sendBody(client *http.Client, m *member, kind, id, sent string, draw int) (int, response, error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+c.in.proxyAddress(m, c.in.callPort())+"/"+kind+"/x", strings.NewReader(sent))
 	if err != nil {
 		return 0, response{}, err
 	}
 	request.Host = "a.example"
-	// Without a way to read the body again the library sends the request once only.
+	// Without GetBody the HTTP library cannot send the request a second time.
 	request.GetBody = nil
 	request.Header.Set(idHeader, id)
-	request.Header.Set(viaHeader, m.name)
+	request.Header.Set(gatewayHeader, m.name)
 	request.Header.Set("X-Deadline-Ms", "3000")
 	newest, _ := c.check.newest()
-	carry(request.Header, draw, newest)
+	setAccountHeaders(request.Header, draw, newest)
 	got, err := client.Do(request)
 	if err != nil {
 		return 0, response{}, err
@@ -137,24 +137,24 @@
 	return got.StatusCode, response{stamp: got.Header.Get(stampHeader), body: string(body), whole: err == nil}, nil
 }
 
-// judge checks one answer.
-func (c *clients) judge(m *member, kind, id string, status int, got response, err error) {
+// checkAnswer checks one answer.
+func (c *clients) checkAnswer(m *member, kind, id string, status int, got response, err error) {
 	switch {
 	case err != nil:
 		c.check.count("no answer")
 	case status == http.StatusOK && got.whole:
 		c.check.count("whole answers")
-		c.recent.Store(m.name, time.Now())
-		c.judgeBody(kind, id, got)
+		c.lastSuccess.Store(m.name, time.Now())
+		c.checkBody(kind, id, got)
 	case status == http.StatusOK:
 		c.check.count("broken answers")
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		c.check.count("refusals")
-		c.check.promise(id, status)
+		c.check.recordNotRun(id, status)
 	case status == http.StatusUnauthorized:
-		// A key of an earlier version, or of one that the gateway does not have yet.
+		// The key belongs to an earlier version or to one that the gateway does not have yet.
 		c.check.count("keys refused")
-		c.check.promise(id, status)
+		c.check.recordNotRun(id, status)
 	default:
 		c.check.count(fmt.Sprint("status ", status))
 		if status == http.StatusNotFound || status == http.StatusForbidden {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (c *clients) judgeBody(kind, id string, got response) {
+func (c *clients) checkBody(kind, id string, got response) {
 	if !strings.HasSuffix(got.stamp, "."+id) {
 		c.check.fail("mixed", "request %s got the stamp %q", id, got.stamp)
 	}
@@ -179,23 +179,23 @@
 	}
 }
 
-// probe looks which versions are in force at a gateway: never an older one in
-// the same life, and the newest soon after its acknowledgement.
-func (c *clients) probe(ctx context.Context, m *member) {
+// probeConfigurations checks which versions are in force at a gateway: never an older one than
+// before in the same process, and the newest one within applyLimit of its acknowledgement.
+func (c *clients) probeConfigurations(ctx context.Context, m *member) {
 	defer c.work.Done()
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	life, seen := 0, uint64(0)
+	startCount, seen := 0, uint64(0)
 	for ctx.Err() == nil {
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		before, since := m.state()
-		if before != life {
-			life, seen = before, 0
+		if before != startCount {
+			startCount, seen = before, 0
 		}
 		newest, ackedAt := c.check.newest()
 		began := time.Now()
 		status := c.probeVersion(client, m, newest)
-		after, still := m.state()
-		if after != life || status == 0 {
+		after, sinceAfter := m.state()
+		if after != startCount || status == 0 {
 			continue
 		}
 		if status == http.StatusOK {
@@ -204,28 +204,28 @@
 		}
 		later, _ := c.check.newest()
 		if later != newest {
-			continue // a later version may have replaced it meanwhile
+			continue // a later version may have replaced it
 		}
-		calm := !since.IsZero() && since == still && began.Sub(since) > contactTime
-		core := c.in.coreCalmSince()
-		calm = calm && !core.IsZero() && began.Sub(core) > contactTime
-		if status == http.StatusNotFound && calm && began.Sub(ackedAt) > applyTime && c.unchanged(newest) {
+		faultFree := !since.IsZero() && since == sinceAfter && began.Sub(since) > contactTime
+		controlSince := c.in.controlFaultFreeSince()
+		faultFree = faultFree && !controlSince.IsZero() && began.Sub(controlSince) > contactTime
+		if status == http.StatusNotFound && faultFree && began.Sub(ackedAt) > applyLimit && c.isNewestSent(newest) {
 			c.check.late("apply", "%s does not have version %d, acknowledged %s before", m.name, newest, began.Sub(ackedAt))
 		}
 		if seen > 1 && c.probeVersion(client, m, seen-1) == http.StatusOK {
-			if now, _ := m.state(); now == life {
+			if now, _ := m.state(); now == startCount {
 				c.check.fail("regress", "%s serves version %d after %d", m.name, seen-1, seen)
 			}
 		}
 	}
 }
 
-// unchanged reports whether no version beyond was even sent: one that was sent
-// and not acknowledged may be in force.
-func (c *clients) unchanged(version uint64) bool { return c.check.content(version+1) == "" }
+// isNewestSent reports whether no later version has been sent. A later version may be in force even
+// if it was not acknowledged.
+func (c *clients) isNewestSent(version uint64) bool { return c.check.content(version+1) == "" }
 
 func (c *clients) probeVersion(client *http.Client, m *member, version uint64) int {
-	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v/%d/x", c.in.outer(m, c.in.callPort()), version), nil)
+	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v/%d/x", c.in.proxyAddress(m, c.in.callPort()), version), nil)
 	if err != nil {
 		return 0
 	}
@@ -242,10 +242,10 @@
 	return got.StatusCode
 }
 
-// recovered checks that every gateway served again after the last fault.
-func (c *clients) recovered() {
+// checkRecovery checks that every gateway served requests again after the last fault.
+func (c *clients) checkRecovery() {
 	for _, m := range c.in.gatewayNodes() {
-		last, found := c.recent.Load(m.name)
+		last, found := c.lastSuccess.Load(m.name)
 		if !found || time.Since(last.(time.Time)) > settleTime/2+2*time.Second {
 			c.check.late("recover", "%s served nothing at the end", m.name)
 		}
--- a/soak/cold.go
+++ b/soak/cold.go
@@ -8,55 +8,57 @@
 )
 
 const (
-	// coldRate is how many requests a second a cold replica bears, coldAllowed how many it may get.
-	coldRate    = 10
-	coldAllowed = coldRate*1.5 + 5
-	// coldFor is how long a replica is cold, coldEvery the pause between two zones that become so.
-	coldFor   = 3 * time.Second
-	coldEvery = 5 * time.Second
-	// coldSlack is after how long every calm gateway knows what a control node was told of a replica.
-	coldSlack = time.Second
+	// coldRate is the configured limit of requests a second for a cold replica, maxColdPerSecond the
+	// highest number that the check accepts.
+	coldRate         = 10
+	maxColdPerSecond = coldRate*1.5 + 5
+	// coldDuration is how long a replica is cold, coldPause the pause between two cold zones.
+	coldDuration = 3 * time.Second
+	coldPause    = 5 * time.Second
+	// coldNoticeTime is how long it takes until every gateway without a fault knows what a replica
+	// told a control node.
+	coldNoticeTime = time.Second
 )
 
-// coldness is whether one start of a replica is cold, and what it gets then; it is safe for
+// coldPeriod records when a replica is cold and which requests it receives meanwhile. It is safe for
 // concurrent use.
-type coldness struct {
+type coldPeriod struct {
 	mu sync.Mutex
-	// until is until when it is cold, toldAt when a control node first acknowledged that.
-	until    time.Time
-	toldAt   time.Time
-	arrivals []time.Time
+	// until is the end of the period, acknowledgedAt when a control node first acknowledged it.
+	until          time.Time
+	acknowledgedAt time.Time
+	arrivals       []time.Time
 }
 
 // begin makes the replica cold from now on.
-func (c *coldness) begin() {
+func (c *coldPeriod) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until, c.toldAt, c.arrivals = time.Now().Add(coldFor), time.Time{}, nil
+	c.until, c.acknowledgedAt, c.arrivals = time.Now().Add(coldDuration), time.Time{}, nil
 }
 
-// left returns for how much longer the replica is cold.
-func (c *coldness) left() time.Duration {
+// remaining returns how much longer the replica is cold.
+func (c *coldPeriod) remaining() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(time.Until(c.until), 0)
 }
 
-// told takes in that a control node knows of it.
-func (c *coldness) told() {
+// recordAcknowledged records that a control node knows that the replica is cold.
+func (c *coldPeriod) recordAcknowledged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.toldAt.IsZero() {
-		c.toldAt = time.Now()
+	if c.acknowledgedAt.IsZero() {
+		c.acknowledgedAt = time.Now()
 	}
 }
 
-// arrived counts a request and returns how many came in the last second in which every gateway knew
-// that the replica is cold.
-func (c *coldness) arrived(now time.Time) int {
+// recordArrival counts a request and returns how many arrived within the last second. It returns 0
+// unless the replica is cold and every gateway knows it.
+func (c *coldPeriod) recordArrival(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.After(c.until) || c.toldAt.IsZero() || now.Sub(c.toldAt) < coldSlack {
+	if now.After(c.until) || c.acknowledgedAt.IsZero() || now.Sub(c.acknowledgedAt) < coldNoticeTime {
 		return 0
 	}
 	c.arrivals = append(c.arrivals, now)
@@ -66,25 +68,25 @@
 	return len(c.arrivals)
 }
 
-// checkCold holds that a cold replica does not get more than it may.
-func (r *replicas) checkCold(one *replica) {
-	if got := one.cold.arrived(time.Now()); float64(got) > coldAllowed && r.settled("") {
-		r.check.late("cold", "%s got %d requests in a second while it was cold", one.id, got)
+// checkCold checks that a cold replica does not receive too many requests.
+func (r *replicas) checkCold(rep *replica) {
+	if got := rep.cold.recordArrival(time.Now()); float64(got) > maxColdPerSecond && r.faultFree("") {
+		r.check.late("cold", "%s got %d requests in a second while it was cold", rep.id, got)
 	}
 }
 
-// coolZones lets all replicas of a zone become cold at once now and then.
-func (r *replicas) coolZones(ctx context.Context, random *rand.Rand) {
+// makeZonesCold makes all replicas of a random zone cold at regular intervals.
+func (r *replicas) makeZonesCold(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(coldEvery):
+		case <-time.After(coldPause):
 		}
 		zone := zoneOf(random.IntN(zoneCount))
-		for _, one := range r.some(1) {
-			if zoneOf(one.host) == zone {
-				one.cold.begin()
+		for _, rep := range r.firstShare(1) {
+			if zoneOf(rep.host) == zone {
+				rep.cold.begin()
 			}
 		}
 		r.check.count("cold zones")
--- a/soak/disks.go
+++ b/soak/disks.go
@@ -12,23 +12,24 @@
 	"time"
 )
 
-// Spells of slow disks: how long after each other they begin, how long they last, and how long
-// syncs wait meanwhile.
+// Timing of slow disks: the longest pause between two periods, the longest period and the longest
+// wait of a sync.
 const (
-	slowDisksEvery = 2 * time.Second
-	slowDisksLast  = 2500 * time.Millisecond
-	longestSync    = 1500 * time.Millisecond
-	// hungSync is longer than any spell: the sync ends with it.
-	hungSync = time.Minute
-	// hangEvery is one in how many spells a sync hangs.
-	hangEvery = 4
-	// restartSync bounds the wait of each sync while all processes start after a loss of power.
-	restartSync = 400 * time.Millisecond
+	maxSlowDiskPause    = 2 * time.Second
+	maxSlowDiskDuration = 2500 * time.Millisecond
+	maxSyncWait         = 1500 * time.Millisecond
+	// hangingSyncWait exceeds every period, so that the sync returns when the period ends.
+	hangingSyncWait = time.Minute
+	// Syncs hang in one of hangOneIn periods.
+	hangOneIn = 4
+	// maxRestartSyncWait limits the wait of each sync while all processes restart after a power
+	// loss.
+	maxRestartSyncWait = 400 * time.Millisecond
 )
 
-// setSync makes each sync of a control node's data folder wait, by a file that builds for the soak
-// read; 0 ends that.
-func (m *member) setSync(wait time.Duration) {
+// setSyncWait makes each sync of a control node's data folder wait, 0 for no wait. Programs built
+// with the tag soak read the wait from a file beside the folder.
+func (m *member) setSyncWait(wait time.Duration) {
 	file := m.folder + ".slow"
 	if wait == 0 {
 		_ = os.Remove(file)
@@ -44,73 +45,74 @@
 	}
 }
 
-// slowDisks lets the disks of one or of all control nodes be slow or hang for a while, again and
-// again, whatever else strikes meanwhile.
-func (in *installation) slowDisks(ctx context.Context, random *rand.Rand) {
+// injectSlowDisks repeatedly makes the disks of one or all control nodes slow or hang for a while,
+// independently of other faults.
+func (in *installation) injectSlowDisks(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(random.Int64N(int64(slowDisksEvery))))
-		struck := in.controlNodes()
+		sleep(ctx, time.Duration(random.Int64N(int64(maxSlowDiskPause))))
+		affected := in.controlNodes()
 		if random.IntN(2) == 0 {
-			one := random.IntN(controls)
-			struck = struck[one : one+1]
+			index := random.IntN(controlNodeCount)
+			affected = affected[index : index+1]
 		}
-		wait := time.Duration(1 + random.Int64N(int64(longestSync)))
-		if random.IntN(hangEvery) == 0 {
-			wait = hungSync
+		wait := time.Duration(1 + random.Int64N(int64(maxSyncWait)))
+		if random.IntN(hangOneIn) == 0 {
+			wait = hangingSyncWait
 		}
-		lasts := time.Duration(random.Int64N(int64(slowDisksLast)))
+		duration := time.Duration(random.Int64N(int64(maxSlowDiskDuration)))
 		if ctx.Err() != nil {
 			return
 		}
-		in.slowSpell(ctx, struck, wait, lasts)
+		in.slowDisksFor(ctx, affected, wait, duration)
 	}
 }
 
-// slowSpell makes syncs of control nodes wait for a while. No bound on time holds meanwhile.
-func (in *installation) slowSpell(ctx context.Context, struck []*member, wait, lasts time.Duration) {
+// slowDisksFor makes the syncs of control nodes wait for a while. Time limits are not checked
+// meanwhile.
+func (in *installation) slowDisksFor(ctx context.Context, affected []*member, wait, duration time.Duration) {
 	in.disks.begin()
-	for _, m := range struck {
-		fmt.Fprintf(m.log, "soak: %s each sync waits %s for %s\n", time.Now().Format(time.RFC3339Nano), wait, lasts)
-		m.setSync(wait)
+	for _, m := range affected {
+		fmt.Fprintf(m.log, "soak: %s each sync waits %s for %s\n", time.Now().Format(time.RFC3339Nano), wait, duration)
+		m.setSyncWait(wait)
 	}
-	pause(ctx, lasts)
-	for _, m := range struck {
-		m.setSync(0)
+	sleep(ctx, duration)
+	for _, m := range affected {
+		m.setSyncWait(0)
 	}
 	in.disks.end()
 }
 
-// pause waits, no longer than the context lasts.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// slowDiskSpan is how long changes are sent while all disks are slow, patience how long their sender
-// waits for an answer before it sends a copy to another control node.
+// slowDiskDuration is how long changes are sent while all disks are slow, changeTimeout how long the
+// sender waits for an answer before it sends a copy to another control node.
 const (
-	slowDiskSpan = 40 * time.Second
-	patience     = 15 * time.Second
+	slowDiskDuration = 40 * time.Second
+	changeTimeout    = 15 * time.Second
 )
 
-// changeOnSlowDisks sends one change after the other, each again until it is acknowledged, while each
-// sync of each control node waits, and prints how long they took.
+// changeOnSlowDisks sends changes while each sync of every control node waits, each change until it
+// is acknowledged, and prints how long that took.
 func changeOnSlowDisks(ctx context.Context, _ *replicas, c *clients) {
 	in := c.in
 	for _, m := range in.controlNodes() {
-		m.setSync(in.options.SyncWait)
+		m.setSyncWait(in.options.SyncWait)
 	}
-	o := newOperators(in, c.check, newZoneOrders())
-	o.client.Timeout = patience
+	o := newOperators(in, c.check, newZoneDrains())
+	o.client.Timeout = changeTimeout
 	before := in.newestTerm()
 	var took []time.Duration
 	for version := uint64(2); ctx.Err() == nil; version++ {
 		began := time.Now()
-		c.check.send(version, document(version))
+		c.check.recordSent(version, configurationOf(version))
 		for !o.putVersion(version, int(version)) && ctx.Err() == nil {
-			pause(ctx, 50*time.Millisecond)
+			sleep(ctx, 50*time.Millisecond)
 		}
 		if ctx.Err() == nil {
 			took = append(took, time.Since(began))
@@ -124,9 +126,9 @@
 	fmt.Println()
 }
 
-var termSeen = regexp.MustCompile(`in term (\d+),`)
+var termPattern = regexp.MustCompile(`in term (\d+),`)
 
-// newestTerm returns the newest term that stands in the control nodes' logs.
+// newestTerm returns the highest term in the control nodes' logs.
 func (in *installation) newestTerm() int {
 	newest := 0
 	for _, m := range in.controlNodes() {
@@ -134,7 +136,7 @@
 		if err != nil {
 			continue
 		}
-		for _, seen := range termSeen.FindAllSubmatch(text, -1) {
+		for _, seen := range termPattern.FindAllSubmatch(text, -1) {
 			if term, err := strconv.Atoi(string(seen[1])); err == nil {
 				newest = max(newest, term)
 			}
@@ -143,35 +145,35 @@
 	return newest
 }
 
-// playDisks begins the spells of slow disks, or one that lasts for the whole run.
-func (in *installation) playDisks(ctx context.Context, random *rand.Rand) *sync.WaitGroup {
+// startSlowDisks starts the periods of slow disks, or a single one for the whole run.
+func (in *installation) startSlowDisks(ctx context.Context, random *rand.Rand) *sync.WaitGroup {
 	var playing sync.WaitGroup
 	switch {
 	case in.options.SyncWait > 0:
 		for _, m := range in.controlNodes() {
-			m.setSync(in.options.SyncWait)
+			m.setSyncWait(in.options.SyncWait)
 		}
 	case !in.options.OldDisks:
-		playing.Go(func() { in.slowDisks(ctx, random) })
+		playing.Go(func() { in.injectSlowDisks(ctx, random) })
 	}
 	return &playing
 }
 
-// slowRestart makes the disks of all control nodes slow in about half of the runs, until the function
-// that it returns is called.
-func (in *installation) slowRestart(random *rand.Rand) (end func()) {
-	wait := time.Duration(1 + random.Int64N(int64(restartSync)))
+// slowDisksForRestart makes the disks of all control nodes slow in half of the runs, until the
+// returned function is called.
+func (in *installation) slowDisksForRestart(random *rand.Rand) (end func()) {
+	wait := time.Duration(1 + random.Int64N(int64(maxRestartSyncWait)))
 	if random.IntN(2) == 0 || in.options.OldDisks || in.options.SyncWait > 0 {
 		return func() {}
 	}
 	in.disks.begin()
 	for _, m := range in.controlNodes() {
 		fmt.Fprintf(m.log, "soak: each sync waits %s after the loss of power\n", wait)
-		m.setSync(wait)
+		m.setSyncWait(wait)
 	}
 	return func() {
 		for _, m := range in.controlNodes() {
-			m.setSync(0)
+			m.setSyncWait(0)
 		}
 		in.disks.end()
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -9,146 +9,147 @@
 	"time"
 )
 
-// inject strikes at random for a while; strikes overlap.
+// inject starts random faults for a while; faults on different members overlap.
 func (in *installation) inject(span time.Duration, random *rand.Rand) {
 	end := time.Now().Add(span)
-	var strikes sync.WaitGroup
+	var running sync.WaitGroup
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(200+random.IntN(1500)) * time.Millisecond)
 		m := in.members[random.IntN(len(in.members))]
-		if in.mayStrike(m) {
-			kind := faults[random.IntN(len(faults))]
-			if kind.diskless && !m.control {
+		if in.mayInject(m) {
+			chosen := faults[random.IntN(len(faults))]
+			if chosen.needsDataFolder && !m.control {
 				continue
 			}
-			lasts := time.Duration(300+random.IntN(3500)) * time.Millisecond
-			seeded := rand.New(rand.NewPCG(random.Uint64(), 5))
-			fmt.Fprintf(m.log, "soak: %s %s for %s\n", time.Now().Format(time.RFC3339Nano), kind.name, lasts)
-			m.trouble()
-			strikes.Add(1)
+			duration := time.Duration(300+random.IntN(3500)) * time.Millisecond
+			faultRandom := rand.New(rand.NewPCG(random.Uint64(), 5))
+			fmt.Fprintf(m.log, "soak: %s %s for %s\n", time.Now().Format(time.RFC3339Nano), chosen.name, duration)
+			m.beginFault()
+			running.Add(1)
 			go func() {
-				defer strikes.Done()
-				kind.strike(in, m, lasts, seeded)
-				m.calm()
+				defer running.Done()
+				chosen.apply(in, m, duration, faultRandom)
+				m.endFault()
 			}()
 		}
 	}
-	strikes.Wait()
+	running.Wait()
 }
 
-// mayStrike keeps a majority of control nodes undisturbed, so that each strike
-// meets a working installation, and one strike at a time on a member.
-func (in *installation) mayStrike(m *member) bool {
-	if _, since := m.state(); since.IsZero() && m.life > 0 && m.troubled {
+// mayInject allows one fault at a time on a member, and one faulty control node at a time, so that a
+// majority of the control nodes stays healthy.
+func (in *installation) mayInject(m *member) bool {
+	if _, since := m.state(); since.IsZero() && m.startCount > 0 && m.faultActive {
 		return false
 	}
 	if !m.control {
 		return true
 	}
 	for _, other := range in.controlNodes() {
-		if other != m && other.troubled || time.Since(other.calmSince) < 3*time.Second && !other.calmSince.IsZero() {
+		if other != m && other.faultActive || time.Since(other.faultFreeSince) < 3*time.Second && !other.faultFreeSince.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// heal ends all trouble.
-func (in *installation) heal() {
+// endAllFaults removes every impairment and resumes paused processes.
+func (in *installation) endAllFaults() {
 	for _, m := range in.members {
 		for _, p := range m.proxies {
-			p.set(trouble{})
+			p.set(impairment{})
 		}
 		m.signal(syscall.SIGCONT)
-		m.calm()
+		m.endFault()
 	}
 }
 
-// fault is one way to strike a member.
+// fault is a kind of fault that can be injected into a member.
 type fault struct {
 	name string
-	// diskless marks faults of the data folder, which only control nodes have.
-	diskless bool
-	strike   func(in *installation, m *member, lasts time.Duration, random *rand.Rand)
+	// needsDataFolder marks faults of the data folder, which only control nodes have.
+	needsDataFolder bool
+	apply           func(in *installation, m *member, duration time.Duration, random *rand.Rand)
 }
 
 var faults = []fault{
-	{name: "kill", strike: func(in *installation, m *member, lasts time.Duration, _ *rand.Rand) {
-		in.restart(m, syscall.SIGKILL, lasts/2, nil)
+	{name: "kill", apply: func(in *installation, m *member, duration time.Duration, _ *rand.Rand) {
+		in.restart(m, syscall.SIGKILL, duration/2, nil)
 	}},
-	{name: "stop", strike: func(in *installation, m *member, lasts time.Duration, _ *rand.Rand) {
-		in.restart(m, syscall.SIGTERM, lasts/4, nil)
+	{name: "stop", apply: func(in *installation, m *member, duration time.Duration, _ *rand.Rand) {
+		in.restart(m, syscall.SIGTERM, duration/4, nil)
 	}},
-	{name: "pause", strike: func(_ *installation, m *member, lasts time.Duration, _ *rand.Rand) {
+	{name: "pause", apply: func(_ *installation, m *member, duration time.Duration, _ *rand.Rand) {
 		m.signal(syscall.SIGSTOP)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		m.signal(syscall.SIGCONT)
 	}},
-	{name: "suspend", strike: func(_ *installation, m *member, _ time.Duration, _ *rand.Rand) {
-		// The clock of leases goes ahead, the steady one does not: programs built for the soak.
+	{name: "suspend", apply: func(_ *installation, m *member, _ time.Duration, _ *rand.Rand) {
+		// Only programs built with the tag soak handle this signal: the clock that leases use jumps
+		// ahead, the monotonic clock does not.
 		m.signal(syscall.SIGUSR2)
 	}},
-	{name: "reload", strike: func(_ *installation, m *member, _ time.Duration, _ *rand.Rand) { m.signal(syscall.SIGHUP) }},
-	{name: "delay", strike: func(_ *installation, m *member, lasts time.Duration, random *rand.Rand) {
-		m.proxied(lasts, trouble{delay: time.Duration(random.IntN(120)) * time.Millisecond})
+	{name: "reload", apply: func(_ *installation, m *member, _ time.Duration, _ *rand.Rand) { m.signal(syscall.SIGHUP) }},
+	{name: "delay", apply: func(_ *installation, m *member, duration time.Duration, random *rand.Rand) {
+		m.impairProxies(duration, impairment{delay: time.Duration(random.IntN(120)) * time.Millisecond})
 	}},
-	{name: "silence", strike: func(_ *installation, m *member, lasts time.Duration, _ *rand.Rand) {
-		m.proxied(lasts, trouble{silentIn: true, silentOut: true})
+	{name: "silence", apply: func(_ *installation, m *member, duration time.Duration, _ *rand.Rand) {
+		m.impairProxies(duration, impairment{blockInbound: true, blockOutbound: true})
 	}},
-	{name: "cut in", strike: func(_ *installation, m *member, lasts time.Duration, _ *rand.Rand) {
-		m.proxied(lasts, trouble{silentIn: true})
+	{name: "cut in", apply: func(_ *installation, m *member, duration time.Duration, _ *rand.Rand) {
+		m.impairProxies(duration, impairment{blockInbound: true})
 	}},
-	{name: "cut out", strike: func(_ *installation, m *member, lasts time.Duration, _ *rand.Rand) {
-		m.proxied(lasts, trouble{silentOut: true})
+	{name: "cut out", apply: func(_ *installation, m *member, duration time.Duration, _ *rand.Rand) {
+		m.impairProxies(duration, impairment{blockOutbound: true})
 	}},
-	{name: "reset", strike: func(_ *installation, m *member, _ time.Duration, random *rand.Rand) {
+	{name: "reset", apply: func(_ *installation, m *member, _ time.Duration, random *rand.Rand) {
 		for _, p := range m.proxies {
 			p.resetSome(0.7, random)
 		}
 	}},
-	{name: "wipe", diskless: true, strike: func(in *installation, m *member, lasts time.Duration, _ *rand.Rand) {
-		// Often long enough for a learner to take the place, so that one which is nobody's
-		// seed may lead when the machine is back.
-		in.restart(m, syscall.SIGKILL, lasts+spareTakesOver/2, func() { _ = os.RemoveAll(m.folder) })
-		time.Sleep(4 * time.Second) // the time that a lost disk may take to be made up for
+	{name: "wipe", needsDataFolder: true, apply: func(in *installation, m *member, duration time.Duration, _ *rand.Rand) {
+		// The outage is often long enough for a learner to replace the voter, so that a node that is
+		// not a seed may be the leader when this one returns.
+		in.restart(m, syscall.SIGKILL, duration+voterReplacementDelay/2, func() { _ = os.RemoveAll(m.folder) })
+		time.Sleep(4 * time.Second) // how long recovery from a lost disk may take
 	}},
-	{name: "folder in the way", diskless: true, strike: func(in *installation, m *member, lasts time.Duration, _ *rand.Rand) {
+	{name: "folder in the way", needsDataFolder: true, apply: func(in *installation, m *member, duration time.Duration, _ *rand.Rand) {
 		aside := m.folder + ".aside"
 		in.restart(m, syscall.SIGKILL, 0, func() {
 			_ = os.Rename(m.folder, aside)
 			_ = os.WriteFile(m.folder, []byte("in the way"), 0o600)
 		})
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		_ = os.Remove(m.folder)
 		_ = os.Rename(aside, m.folder)
 	}},
 }
 
-// proxied sets trouble on a member's proxies for a while.
-func (m *member) proxied(lasts time.Duration, t trouble) {
+// impairProxies applies an impairment to a member's proxies for a while.
+func (m *member) impairProxies(duration time.Duration, t impairment) {
 	for _, p := range m.proxies {
 		p.set(t)
 	}
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	for _, p := range m.proxies {
-		p.set(trouble{})
+		p.set(impairment{})
 	}
 }
 
-// restart ends a process with a signal and starts it again after a pause;
-// between is done while it is down.
+// restart stops a process with a signal and starts it again after a pause; between runs while the
+// process is down.
 func (in *installation) restart(m *member, s syscall.Signal, pause time.Duration, between func()) {
 	m.signal(s)
-	if !m.wait(10 * time.Second) {
+	if !m.waitForExit(10 * time.Second) {
 		m.signal(syscall.SIGKILL)
-		m.wait(5 * time.Second)
+		m.waitForExit(5 * time.Second)
 	}
 	if between != nil {
 		between()
 	}
 	time.Sleep(pause)
 	if m.control {
-		_ = in.settings(m, false)
+		_ = in.writeSettings(m, false)
 	}
 	if err := in.start(m); err != nil {
 		fmt.Fprintln(m.log, "soak: start:", err)
--- a/soak/installation.go
+++ b/soak/installation.go
@@ -15,79 +15,81 @@
 	"github.com/pkg/errors"
 )
 
-// The hosts of the installation on loopback. A process listens at its inner
-// address; its outer one, which all others use, is the proxy's.
+// Loopback networks of the installation. A process listens on its address in processNet; all others
+// reach it through its proxy, at the address in proxyNet.
 const (
-	outerNet   = "127.20.1."
-	innerNet   = "127.20.2."
+	proxyNet   = "127.20.1."
+	processNet = "127.20.2."
 	replicaNet = "127.20.3."
-	// controls are the control nodes, of which the first are everybody's seeds.
-	controls    = 4
-	seedNodes   = 3
-	tolerance   = 1
-	gatewayHost = 10
-	// spareTakesOver is about how long a voter has to be gone for that.
-	spareTakesOver = 3 * time.Second
-	// wantedVoters is how many control nodes vote.
-	wantedVoters = 2*tolerance + 1
+	// controlNodeCount is the number of control nodes; the first seedCount of them are the seeds of
+	// all processes.
+	controlNodeCount  = 4
+	seedCount         = 3
+	tolerance         = 1
+	gatewayHostOffset = 10
+	// voterReplacementDelay is roughly how long a voter has to be gone before another node replaces
+	// it.
+	voterReplacementDelay = 3 * time.Second
+	// voterCount is the number of control nodes that vote.
+	voterCount = 2*tolerance + 1
 )
 
-// member is one process with its proxies.
+// member is a control node or gateway of the installation: its process, files and proxies.
 type member struct {
-	name    string
-	program string
-	host    int
-	control bool
-	folder  string
-	file    string
-	proxies []*proxy
-	// bin is the folder of the member's programs, "" for that of the run.
+	name         string
+	program      string
+	host         int
+	control      bool
+	folder       string
+	settingsFile string
+	proxies      []*proxy
+	// bin is the folder of the member's programs, "" for the run's default.
 	bin string
 	log *os.File
 
 	mu      sync.Mutex
 	process *exec.Cmd
 	ended   chan struct{}
-	// life counts the starts; calmSince is when the last trouble of the member ended.
-	life      int
-	calmSince time.Time
-	troubled  bool
-	expected  bool
-	ownEnds   int
+	// startCount counts the process starts; faultFreeSince is the end of the member's last fault.
+	startCount      int
+	faultFreeSince  time.Time
+	faultActive     bool
+	exitExpected    bool
+	unexpectedExits int
 }
 
 // installation is all processes of a run.
 type installation struct {
 	options options
 	members []*member
-	disks   spells
+	disks   slowDiskPeriods
 }
 
-// spells counts the spells of slow disks under way and remembers when the last one ended.
-type spells struct {
+// slowDiskPeriods counts the active periods of slow disks and records when the last one ended.
+type slowDiskPeriods struct {
 	mu      sync.Mutex
-	open    int
+	active  int
 	endedAt time.Time
 }
 
-func (s *spells) begin() {
+func (s *slowDiskPeriods) begin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open++
+	s.active++
 }
 
-func (s *spells) end() {
+func (s *slowDiskPeriods) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.active--
 	s.endedAt = time.Now()
 }
 
-// over returns when the last spell ended; none is false while one is under way.
-func (s *spells) over() (endedAt time.Time, none bool) {
+// lastEnd returns when the last period ended; none is false while one is active.
+func (s *slowDiskPeriods) lastEnd() (endedAt time.Time, none bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endedAt, s.open == 0
+	return s.endedAt, s.active == 0
 }
 
 func newInstallation(o options) (*installation, error) {
@@ -95,11 +97,11 @@
 		return nil, err
 	}
 	in := &installation{options: o}
-	for i := 1; i <= controls; i++ {
+	for i := 1; i <= controlNodeCount; i++ {
 		in.members = append(in.members, &member{name: fmt.Sprint("control-", i), program: "moorspool-fleet-control", host: i, control: true})
 	}
 	for i := 1; i <= o.Gateways; i++ {
-		in.members = append(in.members, &member{name: fmt.Sprint("gateway-", i), program: "moorspool-fleet-gateway", host: gatewayHost + i})
+		in.members = append(in.members, &member{name: fmt.Sprint("gateway-", i), program: "moorspool-fleet-gateway", host: gatewayHostOffset + i})
 	}
 	for _, m := range in.members {
 		if err := in.prepare(m); err != nil {
@@ -109,18 +111,18 @@
 	return in, nil
 }
 
-// The ports, from the first one on.
+// The ports of each process, counted from the configured first port.
 func (in *installation) peerPort() int  { return in.options.Port }
 func (in *installation) callPort() int  { return in.options.Port + 1 }
 func (in *installation) readyPort() int { return in.options.Port + 2 }
 func (in *installation) adminPort() int { return in.options.Port + 3 }
 
-func (in *installation) outer(m *member, port int) string {
-	return fmt.Sprintf("%s%d:%d", outerNet, m.host, port)
+func (in *installation) proxyAddress(m *member, port int) string {
+	return fmt.Sprintf("%s%d:%d", proxyNet, m.host, port)
 }
 
-func (in *installation) inner(m *member, port int) string {
-	return fmt.Sprintf("%s%d:%d", innerNet, m.host, port)
+func (in *installation) processAddress(m *member, port int) string {
+	return fmt.Sprintf("%s%d:%d", processNet, m.host, port)
 }
 
 func (in *installation) prepare(m *member) error {
@@ -129,31 +131,31 @@
 		return err
 	}
 	m.folder = filepath.Join(folder, "data")
-	m.file = filepath.Join(folder, "settings.yaml")
+	m.settingsFile = filepath.Join(folder, "settings.yaml")
 	log, err := os.Create(filepath.Join(folder, "log"))
 	if err != nil {
 		return err
 	}
 	m.log = log
 	for _, port := range []int{in.peerPort(), in.callPort(), in.readyPort(), in.adminPort()} {
-		if err := mustBeFree(in.inner(m, port)); err != nil {
+		if err := checkAddressFree(in.processAddress(m, port)); err != nil {
 			return err
 		}
 	}
 	ports := []int{in.peerPort(), in.callPort()}
 	for _, port := range ports {
-		p, err := newProxy(in.outer(m, port), in.inner(m, port))
+		p, err := newProxy(in.proxyAddress(m, port), in.processAddress(m, port))
 		if err != nil {
 			return err
 		}
 		m.proxies = append(m.proxies, p)
 	}
-	return in.settings(m, true)
+	return in.writeSettings(m, true)
 }
 
-// mustBeFree fails if somebody listens at an address: processes that an earlier run
-// left behind would be taken for this run's.
-func mustBeFree(address string) error {
+// checkAddressFree returns an error if an address is in use: processes left behind by an earlier run
+// would be mistaken for this run's.
+func checkAddressFree(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrap(err, "another run is under way or left processes behind")
@@ -161,21 +163,22 @@
 	return listener.Close()
 }
 
-// settings writes a member's settings file.
-func (in *installation) settings(m *member, found bool) error {
+// writeSettings writes a member's settings file. bootstrap allows a control node to found a new
+// cluster.
+func (in *installation) writeSettings(m *member, bootstrap bool) error {
 	var seeds []string
-	for i := 1; i <= seedNodes; i++ {
-		seeds = append(seeds, fmt.Sprintf("%q", fmt.Sprintf("%s%d:%d", outerNet, i, in.callPort())))
+	for i := 1; i <= seedCount; i++ {
+		seeds = append(seeds, fmt.Sprintf("%q", fmt.Sprintf("%s%d:%d", proxyNet, i, in.callPort())))
 	}
 	quota := fmt.Sprintf("quota: {window: %s, overage: %v, slack: %d}\n", quotaWindow, quotaOverage, quotaSlack)
 	text := fmt.Sprintf("node: %s\nzone: zone-%d\naddress: %s%d\nlisten: %s%d\npeerPort: %d\nadminPort: %d\nseeds: [%s]\nmemoryMB: %d\n",
-		m.name, m.host%3, outerNet, m.host, innerNet, m.host, in.peerPort(), in.adminPort(), strings.Join(seeds, ", "), memoryMB)
+		m.name, m.host%3, proxyNet, m.host, processNet, m.host, in.peerPort(), in.adminPort(), strings.Join(seeds, ", "), maxMemoryMB)
 	if m.control {
-		text += fmt.Sprintf("calls: %s\nfolder: %s\nfound: %v\ntolerance: %d\nheartbeat: 500ms\nlease: 1s\n"+quota, in.inner(m, in.callPort()), m.folder, found, tolerance)
+		text += fmt.Sprintf("calls: %s\nfolder: %s\nfound: %v\ntolerance: %d\nheartbeat: 500ms\nlease: 1s\n"+quota, in.processAddress(m, in.callPort()), m.folder, bootstrap, tolerance)
 	} else {
-		text += fmt.Sprintf("clients: %s\nready: %s\nstopLimit: 6s\nbalancerLag: 500ms\nretry: {ratio: 0.2, extra: 50, window: 10s}\ntrust: %s\n"+quota, in.inner(m, in.callPort()), in.inner(m, in.readyPort()), trust)
+		text += fmt.Sprintf("clients: %s\nready: %s\nstopLimit: 6s\nbalancerLag: 500ms\nretry: {ratio: 0.2, extra: 50, window: 10s}\ntrust: %s\n"+quota, in.processAddress(m, in.callPort()), in.processAddress(m, in.readyPort()), trustPeriod)
 	}
-	return os.WriteFile(m.file, []byte(text), 0o644)
+	return os.WriteFile(m.settingsFile, []byte(text), 0o644)
 }
 
 func (in *installation) startAll() error {
@@ -190,22 +193,22 @@
 func (in *installation) start(m *member) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	command := exec.Command(in.program(m), "-c", m.file)
+	command := exec.Command(in.program(m), "-c", m.settingsFile)
 	command.Stdout = m.log
 	command.Stderr = m.log
 	if err := command.Start(); err != nil {
 		return err
 	}
 	m.process = command
-	m.life++
-	m.expected = false
+	m.startCount++
+	m.exitExpected = false
 	m.ended = make(chan struct{})
 	ended := m.ended
 	go func() {
 		_ = command.Wait()
 		m.mu.Lock()
-		if !m.expected && m.process == command {
-			m.ownEnds++
+		if !m.exitExpected && m.process == command {
+			m.unexpectedExits++
 		}
 		m.mu.Unlock()
 		close(ended)
@@ -218,15 +221,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		m.expected = true
+		m.exitExpected = true
 	}
 	if m.process != nil && m.process.Process != nil {
 		_ = m.process.Process.Signal(s)
 	}
 }
 
-// wait waits for the process's end and reports whether it came in time.
-func (m *member) wait(limit time.Duration) bool {
+// waitForExit waits for the process to exit and reports whether it did within the limit.
+func (m *member) waitForExit(limit time.Duration) bool {
 	m.mu.Lock()
 	ended := m.ended
 	m.mu.Unlock()
@@ -238,38 +241,39 @@
 	}
 }
 
-// trouble marks a member as troubled until calm is called.
-func (m *member) trouble() {
+// beginFault marks a member as faulty until endFault is called.
+func (m *member) beginFault() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.troubled = true
+	m.faultActive = true
 }
 
-func (m *member) calm() {
+func (m *member) endFault() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.troubled = false
-	m.calmSince = time.Now()
+	m.faultActive = false
+	m.faultFreeSince = time.Now()
 }
 
-// state returns the member's life and since when it has been calm, zero if it is not.
-func (m *member) state() (life int, calmSince time.Time) {
+// state returns how often the member was started and since when it has been free of faults, the zero
+// time while a fault is active.
+func (m *member) state() (startCount int, faultFreeSince time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.troubled {
-		return m.life, time.Time{}
+	if m.faultActive {
+		return m.startCount, time.Time{}
 	}
-	return m.life, m.calmSince
+	return m.startCount, m.faultFreeSince
 }
 
-func (in *installation) controlNodes() []*member { return in.members[:controls] }
+func (in *installation) controlNodes() []*member { return in.members[:controlNodeCount] }
 
-func (in *installation) gatewayNodes() []*member { return in.members[controls:] }
+func (in *installation) gatewayNodes() []*member { return in.members[controlNodeCount:] }
 
-// coreCalmSince returns since when all control nodes and their disks have been calm, zero if one is
-// not.
-func (in *installation) coreCalmSince() time.Time {
-	latest, none := in.disks.over()
+// controlFaultFreeSince returns since when all control nodes and their disks have been free of
+// faults, the zero time while one is not.
+func (in *installation) controlFaultFreeSince() time.Time {
+	latest, none := in.disks.lastEnd()
 	if !none {
 		return time.Time{}
 	}
@@ -285,23 +289,23 @@
 	return latest
 }
 
-// endOnSignal ends the run's processes when the run itself is ended.
-func (in *installation) endOnSignal() {
+// shutDownOnSignal kills the run's processes when the run itself receives a termination signal.
+func (in *installation) shutDownOnSignal() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	<-signals
-	in.end()
+	in.shutDown()
 	os.Exit(1)
 }
 
-// end kills what still runs, by the processes that this run started.
-func (in *installation) end() {
+// shutDown kills the processes that this run started, and no others.
+func (in *installation) shutDown() {
 	for _, m := range in.members {
 		m.signal(syscall.SIGCONT)
 		m.signal(syscall.SIGKILL)
 	}
 	for _, m := range in.members {
-		m.wait(5 * time.Second)
+		m.waitForExit(5 * time.Second)
 		for _, p := range m.proxies {
 			p.close()
 		}
--- a/soak/main.go
+++ b/soak/main.go
@@ -1,7 +1,7 @@
-// Command soak runs the real gateways and control nodes as separate processes on
-// loopback addresses and injects faults from outside them: signals, a proxy
-// before each process, lost and unusable data folders. While it runs it checks
-// what callers, operators and replicas see. See README.md beside it.
+// Command soak runs the real gateways and control nodes as separate processes on loopback addresses
+// and injects faults from outside: signals, a proxy in front of each process, lost and unusable data
+// folders. During the run it checks what clients, operators and replicas observe. See README.md in
+// this folder.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	Port     int           `long:"port" description:"first of the ports used on every address" default:"17400"`
 }
 
-// settleTime is how long the installation has after the last fault.
+// settleTime is how long the processes have to recover after the last fault.
 const settleTime = 8 * time.Second
 
 func main() {
@@ -58,7 +58,7 @@
 	}
 }
 
-// run plays one seed and returns what was broken.
+// run executes one seed and returns its findings.
 func run(o options) ([]string, error) {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -67,11 +67,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.end()
-	go in.endOnSignal()
+	defer in.shutDown()
+	go in.shutDownOnSignal()
 	check := newChecker()
-	check.bounds = !o.NoBounds
-	zones := newZoneOrders()
+	check.timeBounds = !o.NoBounds
+	zones := newZoneDrains()
 	replicas, err := newReplicas(in, check, zones, replicaCount)
 	if err != nil {
 		return nil, err
@@ -81,44 +81,44 @@
 		return nil, err
 	}
 	operators := newOperators(in, check, zones)
-	if err := operators.found(); err != nil {
+	if err := operators.createConfiguration(); err != nil {
 		return nil, err
 	}
-	go replicas.beat(ctx)
-	go replicas.pressForeign(ctx, rand.New(rand.NewPCG(o.Seed, 9)))
-	go replicas.turnOver(ctx, rand.New(rand.NewPCG(o.Seed, 2)))
-	resting, rested := context.WithCancel(ctx)
-	defer rested()
-	go replicas.rest(resting, rand.New(rand.NewPCG(o.Seed, 10)))
-	go replicas.sayLeaving(ctx, rand.New(rand.NewPCG(o.Seed, 11)))
-	go replicas.coolZones(resting, rand.New(rand.NewPCG(o.Seed, 12)))
-	go replicas.limit(resting, rand.New(rand.NewPCG(o.Seed, 14)))
+	go replicas.sendHeartbeats(ctx)
+	go replicas.sendMalformedCalls(ctx, rand.New(rand.NewPCG(o.Seed, 9)))
+	go replicas.replaceAtRandom(ctx, rand.New(rand.NewPCG(o.Seed, 2)))
+	faultCtx, endFaults := context.WithCancel(ctx)
+	defer endFaults()
+	go replicas.announceBackoffs(faultCtx, rand.New(rand.NewPCG(o.Seed, 10)))
+	go replicas.announceLeaving(ctx, rand.New(rand.NewPCG(o.Seed, 11)))
+	go replicas.makeZonesCold(faultCtx, rand.New(rand.NewPCG(o.Seed, 12)))
+	go replicas.limit(faultCtx, rand.New(rand.NewPCG(o.Seed, 14)))
 	operators.work.Add(1)
-	go operators.drainZones(resting, rand.New(rand.NewPCG(o.Seed, 13)))
+	go operators.drainZones(faultCtx, rand.New(rand.NewPCG(o.Seed, 13)))
 	go operators.run(ctx, rand.New(rand.NewPCG(o.Seed, 3)))
 	clients := newClients(in, check)
-	if err := clients.warm(); err != nil {
+	if err := clients.waitUntilServing(); err != nil {
 		return nil, err
 	}
 	go in.watchMemory(ctx, check)
 	go clients.run(ctx, rand.New(rand.NewPCG(o.Seed, 4)))
 	disksCtx, endSlowDisks := context.WithCancel(ctx)
 	defer endSlowDisks()
-	disks := in.playDisks(disksCtx, rand.New(rand.NewPCG(o.Seed, 15)))
+	disks := in.startSlowDisks(disksCtx, rand.New(rand.NewPCG(o.Seed, 15)))
 	in.inject(time.Duration(o.Seconds)*time.Second, random)
 	endSlowDisks()
 	disks.Wait()
-	in.heal()
-	rested()
+	in.endAllFaults()
+	endFaults()
 	operators.stop()
 	operators.drainLast()
 	in.blackout(operators, clients, rand.New(rand.NewPCG(o.Seed, 7)))
 	time.Sleep(settleTime)
 	clients.stop()
 	operators.readBack()
-	clients.recovered()
-	in.repaired(check)
-	check.finish(in)
-	fmt.Printf("seed %d: %s; %s; %s\n", o.Seed, check.summary(), &replicas.words, &replicas.limits)
+	clients.checkRecovery()
+	in.checkMembership(check)
+	check.checkAtEnd(in)
+	fmt.Printf("seed %d: %s; %s; %s\n", o.Seed, check.summary(), &replicas.notices, &replicas.limits)
 	return check.findings(), nil
 }
--- a/soak/measure.go
+++ b/soak/measure.go
@@ -12,68 +12,70 @@
 	"github.com/pkg/errors"
 )
 
-// The numbers of a measurement.
+// Load and timing of a measurement.
 const (
 	measureReplicas = 8
-	measureSpan     = 25 * time.Second
-	// measureRate is how many requests of others are sent a second; every other one is alike.
+	measureDuration = 25 * time.Second
+	// measureRate is how many unrelated requests are sent a second; every second one has the same
+	// body.
 	measureRate = 350
-	// measureWorkers send them.
+	// measureWorkers is the number of goroutines that send them.
 	measureWorkers = 40
-	// commonBody is what half of them have.
-	commonBody = "what many callers send"
-	// lossEvery is the pause between two losses of half of the replicas.
-	lossEvery = 5 * time.Second
-	// restartAway is how long a replica is away that is restarted under its ID.
-	restartAway = 500 * time.Millisecond
+	// sharedBody is the body of half of them.
+	sharedBody = "what many callers send"
+	// lossPause is the pause between two crashes of half of the replicas.
+	lossPause = 5 * time.Second
+	// restartDowntime is the downtime of a replica that is restarted under its ID.
+	restartDowntime = 500 * time.Millisecond
 )
 
-// measurement counts what becomes of the others' requests in each half of the span.
+// measurement counts the results of the unrelated requests, for each half of the duration.
 type measurement struct {
 	sent, served [2]atomic.Int64
-	// freeSent and freeServed count them from freeAfter the end of a limit on.
-	freeSent, freeServed atomic.Int64
-	span                 time.Duration
-	// condemned counts those that were refused as a content that ends replicas is.
-	condemned atomic.Int64
+	// afterLimitSent and afterLimitServed count the requests from limitRecoveryTime after the end of
+	// a limit on.
+	afterLimitSent, afterLimitServed atomic.Int64
+	duration                         time.Duration
+	// refusedAsDeadly counts the requests that were refused as content that crashes replicas.
+	refusedAsDeadly atomic.Int64
 }
 
-// trouble kinds that can be measured.
-var measures = map[string]func(ctx context.Context, r *replicas, c *clients){
+// measuredFaults are the kinds of fault that can be measured, by the value of the flag.
+var measuredFaults = map[string]func(ctx context.Context, r *replicas, c *clients){
 	"none":        func(context.Context, *replicas, *clients) {},
-	"deadly":      pressDeadlyAlone,
-	"losses":      func(ctx context.Context, r *replicas, _ *clients) { r.loseHalves(ctx) },
-	"rest":        restShare(0.5),
-	"limit":       limitShareOf(0.5, 5, nil),
-	"limit-all":   limitShareOf(1, 1, nil),
-	"limit-kills": limitShareOf(1, 20, killControlNodes),
+	"deadly":      measureDeadly,
+	"losses":      func(ctx context.Context, r *replicas, _ *clients) { r.crashHalves(ctx) },
+	"rest":        measureBackoff(0.5),
+	"limit":       measureLimits(0.5, 5, nil),
+	"limit-all":   measureLimits(1, 1, nil),
+	"limit-kills": measureLimits(1, 20, restartControlNodes),
 	"slow-disk":   changeOnSlowDisks,
-	"rest-all":    restShare(1),
-	"leaving":     leaveHalf,
+	"rest-all":    measureBackoff(1),
+	"leaving":     measureLeaving,
 	"restarts":    func(ctx context.Context, r *replicas, _ *clients) { r.restartAll(ctx) },
 	"foreign": func(ctx context.Context, r *replicas, _ *clients) {
-		r.pressForeign(ctx, rand.New(rand.NewPCG(1, 9)))
+		r.sendMalformedCalls(ctx, rand.New(rand.NewPCG(1, 9)))
 	},
 }
 
-// measure runs one kind of trouble without any other and prints what others' requests met.
+// measure runs a single kind of fault and prints how many unrelated requests were served meanwhile.
 func measure(o options) error {
-	trouble, span, first := measures[o.Measure], measureSpan, ""
+	fault, duration, first := measuredFaults[o.Measure], measureDuration, ""
 	if o.Measure == "upgrade" || o.Measure == "back" {
-		old, err := buildOf(o.Old)
+		old, err := buildCommit(o.Old)
 		if err != nil {
 			return err
 		}
-		first, span = old, upgradeSpan
-		trouble = upgrade(o.Bin)
+		first, duration = old, upgradeDuration
+		fault = upgrade(o.Bin)
 		if o.Measure == "back" {
-			first, trouble = o.Bin, upgrade(old)
+			first, fault = o.Bin, upgrade(old)
 		}
 	}
 	if o.Measure == "slow-disk" {
-		span = slowDiskSpan
+		duration = slowDiskDuration
 	}
-	if trouble == nil {
+	if fault == nil {
 		return errors.Errorf("there is nothing to measure that is called %q", o.Measure)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -82,10 +84,10 @@
 	if err != nil {
 		return err
 	}
-	defer in.end()
-	go in.endOnSignal()
+	defer in.shutDown()
+	go in.shutDownOnSignal()
 	check := newChecker()
-	r, err := newReplicas(in, check, newZoneOrders(), measureReplicas)
+	r, err := newReplicas(in, check, newZoneDrains(), measureReplicas)
 	if err != nil {
 		return err
 	}
@@ -95,52 +97,52 @@
 		return err
 	}
 	for _, m := range in.members {
-		m.calm()
+		m.endFault()
 	}
-	operators := newOperators(in, check, newZoneOrders())
-	if err := operators.found(); err != nil {
+	operators := newOperators(in, check, newZoneDrains())
+	if err := operators.createConfiguration(); err != nil {
 		return err
 	}
-	go r.beat(ctx)
+	go r.sendHeartbeats(ctx)
 	c := newClients(in, check)
-	if err := c.warm(); err != nil {
+	if err := c.waitUntilServing(); err != nil {
 		return err
 	}
-	time.Sleep(2 * beatEvery)
-	m := measurement{span: span}
-	m.run(ctx, c, func(ctx context.Context) { trouble(ctx, r, c) })
-	r.ends.mu.Lock()
-	defer r.ends.mu.Unlock()
-	fmt.Printf("of %d requests from %s on %d were served\n", m.freeSent.Load(), measuredFrom+measuredFor+freeAfter, m.freeServed.Load())
+	time.Sleep(2 * heartbeatInterval)
+	m := measurement{duration: duration}
+	m.run(ctx, c, func(ctx context.Context) { fault(ctx, r, c) })
+	r.crashes.mu.Lock()
+	defer r.crashes.mu.Unlock()
+	fmt.Printf("of %d requests from %s on %d were served\n", m.afterLimitSent.Load(), measuredLimitStart+measuredLimitDuration+limitRecoveryTime, m.afterLimitServed.Load())
 	fmt.Printf("%s: %d replicas ended under the deadly content, %d later than %s after the third; of others' requests served %.4f, in the second half %.4f, refused as deadly %d\n",
-		o.Measure, r.ends.count, r.ends.late, contactTime, m.share(0, 1), m.share(1), m.condemned.Load())
+		o.Measure, r.crashes.count, r.crashes.late, contactTime, m.share(0, 1), m.share(1), m.refusedAsDeadly.Load())
 	return nil
 }
 
-// run sends the others' requests beside the trouble.
-func (m *measurement) run(ctx context.Context, c *clients, trouble func(ctx context.Context)) {
-	ctx, cancel := context.WithTimeout(ctx, m.span)
+// run sends the unrelated requests while the fault is active.
+func (m *measurement) run(ctx context.Context, c *clients, fault func(ctx context.Context)) {
+	ctx, cancel := context.WithTimeout(ctx, m.duration)
 	defer cancel()
 	began := time.Now()
 	var work sync.WaitGroup
 	work.Add(1)
 	go func() {
 		defer work.Done()
-		trouble(ctx)
+		fault(ctx)
 	}()
 	for worker := range measureWorkers {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			m.press(ctx, c, worker, began)
+			m.sendRequests(ctx, c, worker, began)
 		}()
 	}
 	work.Wait()
 }
 
-// press sends every measureWorkers-th of the others' requests.
-func (m *measurement) press(ctx context.Context, c *clients, worker int, began time.Time) {
-	client := &http.Client{Timeout: deadline, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+// sendRequests sends one worker's part of the unrelated requests.
+func (m *measurement) sendRequests(ctx context.Context, c *clients, worker int, began time.Time) {
+	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	ticker := time.NewTicker(time.Second * measureWorkers / measureRate)
 	defer ticker.Stop()
 	gateways := c.in.gatewayNodes()
@@ -151,7 +153,7 @@
 		case <-ticker.C:
 		}
 		half := 0
-		if time.Since(began) > m.span/2 {
+		if time.Since(began) > m.duration/2 {
 			half = 1
 		}
 		gateway := gateways[turn%len(gateways)]
@@ -159,29 +161,29 @@
 			continue
 		}
 		id := c.id()
-		kind, body := "s", commonBody
+		kind, body := "s", sharedBody
 		if turn%2 == 0 {
 			kind, body = "u", "body of "+id
 		}
 		m.sent[half].Add(1)
-		status, got, err := c.doBody(client, gateway, kind, id, body, mainDraw)
-		free := time.Since(began) > measuredFrom+measuredFor+freeAfter
-		if free {
-			m.freeSent.Add(1)
+		status, got, err := c.sendBody(client, gateway, kind, id, body, mainAccountDraw)
+		afterLimit := time.Since(began) > measuredLimitStart+measuredLimitDuration+limitRecoveryTime
+		if afterLimit {
+			m.afterLimitSent.Add(1)
 		}
 		if err == nil && status == http.StatusOK && got.whole {
 			m.served[half].Add(1)
-			if free {
-				m.freeServed.Add(1)
+			if afterLimit {
+				m.afterLimitServed.Add(1)
 			}
 		}
 		if status == http.StatusTooManyRequests {
-			m.condemned.Add(1)
+			m.refusedAsDeadly.Add(1)
 		}
 	}
 }
 
-// share is the share of requests served in some halves.
+// share returns the share of requests served in the given halves.
 func (m *measurement) share(halves ...int) float64 {
 	sent, served := 0.0, 0.0
 	for _, half := range halves {
@@ -191,24 +193,24 @@
 	return served / max(sent, 1)
 }
 
-func pressDeadlyAlone(ctx context.Context, _ *replicas, c *clients) {
+func measureDeadly(ctx context.Context, _ *replicas, c *clients) {
 	c.work.Add(1)
-	c.pressDeadly(ctx, rand.New(rand.NewPCG(1, 8)))
+	c.sendCrashing(ctx, rand.New(rand.NewPCG(1, 8)))
 }
 
-// loseHalves ends half of the replicas together, again and again.
-func (r *replicas) loseHalves(ctx context.Context) {
+// crashHalves repeatedly crashes half of the replicas at once.
+func (r *replicas) crashHalves(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lossEvery):
+		case <-time.After(lossPause):
 		}
 		r.mu.Lock()
 		lost := append([]*replica(nil), r.list[:len(r.list)/2]...)
 		r.mu.Unlock()
-		for _, one := range lost {
-			r.crash(one)
+		for _, rep := range lost {
+			r.crash(rep)
 		}
 	}
 }
@@ -218,18 +220,18 @@
 	r.mu.Lock()
 	all := append([]*replica(nil), r.list...)
 	r.mu.Unlock()
-	for _, one := range all {
+	for _, rep := range all {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Second):
 		}
-		if !r.remove(one) {
+		if !r.remove(rep) {
 			continue
 		}
-		_ = one.server.Close()
-		time.Sleep(restartAway)
-		r.startAgain(one.host, one.id)
+		_ = rep.server.Close()
+		time.Sleep(restartDowntime)
+		r.startAgain(rep.host, rep.id)
 	}
 	<-ctx.Done()
 }
--- a/soak/membership.go
+++ b/soak/membership.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// The bounds of the look at the membership at a run's end.
+// Time limits of the membership check at the end of a run.
 const (
-	// repairTime is how long after the last fault every control node may take to be a
-	// member and heard; it is many times what that takes.
-	repairTime = 30 * time.Second
-	// metricsPause is the time between two looks: metrics are brought up to date once a second.
-	metricsPause = 500 * time.Millisecond
-	// metricsTimeout bounds the reading of one process's metrics.
+	// membershipTimeout is how long after the last fault every control node may take to become a
+	// member that the leader hears; normal recovery is many times faster.
+	membershipTimeout = 30 * time.Second
+	// metricsInterval is the time between two checks: metrics are updated once a second.
+	metricsInterval = 500 * time.Millisecond
+	// metricsTimeout limits the reading of one process's metrics.
 	metricsTimeout = time.Second
 )
 
-// membership is what a control node says of the membership on its metrics address.
+// membership is a control node's view of the membership, from its metrics.
 type membership struct {
 	member      bool
 	leading     bool
@@ -29,11 +29,11 @@
 	votersHeard int
 }
 
-// repaired checks that every control node is let in and that the leader hears all voters.
-func (in *installation) repaired(check *checker) {
-	end := time.Now().Add(repairTime)
+// checkMembership checks that every control node is a member and that the leader hears all voters.
+func (in *installation) checkMembership(check *checker) {
+	end := time.Now().Add(membershipTimeout)
 	for {
-		reason := in.unrepaired()
+		reason := in.membershipGap()
 		if reason == "" {
 			check.count("membership whole")
 			return
@@ -42,13 +42,13 @@
 			check.fail("membership", "%s", reason)
 			return
 		}
-		time.Sleep(metricsPause)
+		time.Sleep(metricsInterval)
 	}
 }
 
-// unrepaired says what the membership lacks, "" if nothing.
-func (in *installation) unrepaired() string {
-	led := false
+// membershipGap describes what is missing from a complete membership, "" if nothing is.
+func (in *installation) membershipGap() string {
+	hasLeader := false
 	for _, m := range in.controlNodes() {
 		seen, err := in.membershipOf(m)
 		switch {
@@ -56,12 +56,12 @@
 			return fmt.Sprintf("%s gives no metrics: %v", m.name, err)
 		case !seen.member:
 			return m.name + " is no member"
-		case seen.leading && (seen.voters != wantedVoters || seen.votersHeard != seen.voters):
+		case seen.leading && (seen.voters != voterCount || seen.votersHeard != seen.voters):
 			return fmt.Sprintf("%s leads and hears %d of %d voters", m.name, seen.votersHeard, seen.voters)
 		}
-		led = led || seen.leading
+		hasLeader = hasLeader || seen.leading
 	}
-	if !led {
+	if !hasLeader {
 		return "no control node leads"
 	}
 	return ""
@@ -69,7 +69,7 @@
 
 func (in *installation) membershipOf(m *member) (membership, error) {
 	client := http.Client{Timeout: metricsTimeout}
-	response, err := client.Get("http://" + in.inner(m, in.adminPort()) + "/metrics")
+	response, err := client.Get("http://" + in.processAddress(m, in.adminPort()) + "/metrics")
 	if err != nil {
 		return membership{}, err
 	}
@@ -77,7 +77,7 @@
 	return readMembership(response.Body)
 }
 
-// readMembership finds the gauges of the membership in a process's metrics.
+// readMembership parses the membership gauges from a process's metrics.
 func readMembership(from io.Reader) (membership, error) {
 	gauges := map[string]float64{}
 	lines := bufio.NewScanner(from)
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -14,24 +14,24 @@
 	"github.com/pkg/errors"
 )
 
-// operators change the configuration from two places and read it back.
+// operators change the configuration from two goroutines and read it back.
 type operators struct {
 	in      *installation
 	check   *checker
 	client  *http.Client
 	version atomic.Uint64
-	zones   *zoneOrders
+	zones   *zoneDrains
 	done    chan struct{}
 	work    sync.WaitGroup
 }
 
-func newOperators(in *installation, check *checker, zones *zoneOrders) *operators {
+func newOperators(in *installation, check *checker, zones *zoneDrains) *operators {
 	return &operators{in: in, check: check, zones: zones, client: &http.Client{Timeout: 1200 * time.Millisecond}, done: make(chan struct{})}
 }
 
-// document returns the configuration of a version: the routes that always are
-// there, and one that only this version has.
-func document(version uint64) string {
+// configurationOf returns the configuration of a version: the routes that every version has and one
+// that only this version has.
+func configurationOf(version uint64) string {
 	const route = `{"name":%q,"hostname":"a.example","path_prefix":%q,"route_kind":%q,"timeout_ms":4000,"target_latency_ms":500,"service":"s","max_attempts":2,"resumable":%v}`
 	routes := []string{
 		fmt.Sprintf(route, "unsafe", "/u/", "unsafe", false),
@@ -43,8 +43,8 @@
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"s","health_path":"/health","cold_per_s":%d}],"limits":{"max_body_bytes":1048576},"tenants":[%s]}`, version, strings.Join(routes, ","), coldRate, accountsOf(version))
 }
 
-// found sends the first configuration until it is taken.
-func (o *operators) found() error {
+// createConfiguration sends the first configuration until it is acknowledged.
+func (o *operators) createConfiguration() error {
 	for range 100 {
 		if o.put(0) {
 			return nil
@@ -54,20 +54,20 @@
 	return errors.New("the first configuration was never acknowledged")
 }
 
-// put sends the next version to control nodes in turn until one acknowledges it.
+// put sends the next version to the control nodes in turn until one acknowledges it.
 func (o *operators) put(first int) bool {
 	version := o.version.Add(1)
-	o.check.send(version, document(version))
+	o.check.recordSent(version, configurationOf(version))
 	return o.putVersion(version, first)
 }
 
-// putVersion sends a version to control nodes in turn until one acknowledges it.
+// putVersion sends a version to the control nodes in turn until one acknowledges it.
 func (o *operators) putVersion(version uint64, first int) bool {
-	body := document(version)
-	for turn := first; turn < first+2*controls; turn++ {
-		status, _ := o.call(http.MethodPut, turn%controls, body)
+	body := configurationOf(version)
+	for turn := first; turn < first+2*controlNodeCount; turn++ {
+		status, _ := o.call(http.MethodPut, turn%controlNodeCount, body)
 		if status == http.StatusOK {
-			o.check.ack(version)
+			o.check.recordAcknowledged(version)
 			return true
 		}
 		if status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
@@ -79,7 +79,7 @@
 
 func (o *operators) call(method string, control int, body string) (int, string) {
 	m := o.in.controlNodes()[control]
-	request, err := http.NewRequest(method, "http://"+o.in.outer(m, o.in.callPort())+"/-/configuration", strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+o.in.proxyAddress(m, o.in.callPort())+"/-/configuration", strings.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
@@ -109,17 +109,17 @@
 				case <-time.After(time.Duration(200+own.IntN(900)) * time.Millisecond):
 				}
 				if own.IntN(3) == 0 {
-					o.read(own.IntN(controls))
+					o.read(own.IntN(controlNodeCount))
 					continue
 				}
-				o.put(own.IntN(controls))
+				o.put(own.IntN(controlNodeCount))
 			}
 		}()
 	}
 }
 
-// read reads the configuration from a node: never older than what was
-// acknowledged before, never other content than was sent.
+// read reads the configuration from a control node and checks that it is not older than the last
+// acknowledged version and equals what was sent. It reports whether the node answered.
 func (o *operators) read(control int) bool {
 	floor, _ := o.check.newest()
 	status, body := o.call(http.MethodGet, control, "")
@@ -146,17 +146,18 @@
 	o.work.Wait()
 }
 
-// readBack reads from every node at the end, each of which must be sure again.
+// readBack reads the configuration from every control node at the end; each one must be able to
+// answer again.
 func (o *operators) readBack() {
-	for control := range controls {
-		sure := false
+	for control := range controlNodeCount {
+		answered := false
 		for range 30 {
-			if sure = o.read(control); sure {
+			if answered = o.read(control); answered {
 				break
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		if !sure {
+		if !answered {
 			o.check.fail("recover", "control-%d was never sure of the configuration again", control+1)
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// trouble is what a proxy does to the connections through it.
-type trouble struct {
+// impairment is what a proxy does to the traffic through it.
+type impairment struct {
 	delay time.Duration
-	// silentIn and silentOut hold back what goes towards the process or away from it.
-	silentIn  bool
-	silentOut bool
+	// blockInbound holds back bytes sent to the process, blockOutbound bytes sent by it.
+	blockInbound  bool
+	blockOutbound bool
 }
 
-// proxy stands before a process's listening address.
+// proxy forwards connections to a process's listening address.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex
-	trouble trouble
-	changed chan struct{}
-	conns   map[net.Conn]bool
+	mu         sync.Mutex
+	impairment impairment
+	changed    chan struct{}
+	conns      map[net.Conn]bool
 }
 
 func newProxy(listen, target string) (*proxy, error) {
@@ -50,20 +50,20 @@
 func (p *proxy) serve(outer net.Conn) {
 	inner, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		// A process that is down refuses; so does its proxy.
-		reset(outer)
+		// A process that is down refuses connections; its proxy does the same.
+		resetConnection(outer)
 		return
 	}
-	p.keep(outer, inner)
+	p.track(outer, inner)
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		p.copy(inner, outer, func(t trouble) bool { return t.silentIn })
+		p.copy(inner, outer, func(t impairment) bool { return t.blockInbound })
 	}()
 	go func() {
 		defer both.Done()
-		p.copy(outer, inner, func(t trouble) bool { return t.silentOut })
+		p.copy(outer, inner, func(t impairment) bool { return t.blockOutbound })
 	}()
 	both.Wait()
 	p.mu.Lock()
@@ -74,7 +74,7 @@
 	_ = inner.Close()
 }
 
-func (p *proxy) keep(conns ...net.Conn) {
+func (p *proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
@@ -82,16 +82,16 @@
 	}
 }
 
-// copy passes bytes on, late or not at all while there is trouble. An end is
-// passed on as what it was: a reset stays a reset.
-func (p *proxy) copy(to, from net.Conn, silent func(trouble) bool) {
+// copy forwards bytes subject to the impairment. The way a connection ends is preserved: a
+// half-close stays a half-close, a reset stays a reset.
+func (p *proxy) copy(to, from net.Conn, blocked func(impairment) bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		p.wait(silent)
+		p.waitUntilPassable(blocked)
 		if n > 0 {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
-				reset(from)
+				resetConnection(from)
 				return
 			}
 		}
@@ -102,19 +102,19 @@
 			return
 		}
 		if err != nil {
-			reset(to)
+			resetConnection(to)
 			return
 		}
 	}
 }
 
-// wait holds bytes back while the direction is silent, then for the delay.
-func (p *proxy) wait(silent func(trouble) bool) {
+// waitUntilPassable waits while the direction is blocked, then for the delay.
+func (p *proxy) waitUntilPassable(blocked func(impairment) bool) {
 	for {
 		p.mu.Lock()
-		t, changed := p.trouble, p.changed
+		t, changed := p.impairment, p.changed
 		p.mu.Unlock()
-		if !silent(t) {
+		if !blocked(t) {
 			time.Sleep(t.delay)
 			return
 		}
@@ -122,10 +122,10 @@
 	}
 }
 
-func (p *proxy) set(t trouble) {
+func (p *proxy) set(t impairment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trouble = t
+	p.impairment = t
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -136,18 +136,18 @@
 	defer p.mu.Unlock()
 	for conn := range p.conns {
 		if random.Float64() < share {
-			reset(conn)
+			resetConnection(conn)
 		}
 	}
 }
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(trouble{})
+	p.set(impairment{})
 	p.resetSome(1, rand.New(rand.NewPCG(1, 1)))
 }
 
-func reset(conn net.Conn) {
+func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/soak/replicas.go
+++ b/soak/replicas.go
@@ -14,134 +14,135 @@
 	"time"
 )
 
-// The replicas' numbers.
+// Numbers and headers of the replicas.
 const (
-	replicaCount = 6
-	streamEvents = 5
-	eventPause   = 30 * time.Millisecond
-	beatEvery    = 500 * time.Millisecond
-	// longRun is the sequence of the first replicas' calls, as if they had run for long: what
-	// starts again under an ID counts from 1.
-	longRun = 10_000
-	// drainGrace is how long after its acknowledgement a leaving replica may still get requests.
+	replicaCount      = 6
+	streamEvents      = 5
+	eventPause        = 30 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	// initialSequence is the call sequence number at which the first replicas start, as if they had
+	// been running for long; a replica restarted under the same ID starts from 1.
+	initialSequence = 10_000
+	// drainGrace is how long after its draining was acknowledged a replica may still receive
+	// requests.
 	drainGrace = 2 * time.Second
-	// stampHeader proves which replica made an answer, for which request.
+	// stampHeader holds the replica and the request ID that an answer belongs to.
 	stampHeader = "X-Response-Stamp"
 	idHeader    = "X-Attempt-Id"
 )
 
-// replicas are the back ends of a run, in this process.
+// replicas are the backend servers of a run; they are served by this process.
 type replicas struct {
 	in     *installation
 	check  *checker
 	client *http.Client
 
-	mu    sync.Mutex
-	list  []*replica
-	next  int
-	ends  deadlyEnds
-	zones *zoneOrders
-	// words sums up what replicas said in answers of whether they take requests.
-	words wordCounts
-	// limits sums up what came of the limits that they named.
+	mu      sync.Mutex
+	list    []*replica
+	started int
+	crashes crashCounts
+	zones   *zoneDrains
+	// notices are the totals of what replicas announced in their answers.
+	notices noticeCounts
+	// limits are the totals of the announced limits.
 	limits limitCounts
 }
 
-// replica is one incarnation.
+// replica is one start of a backend server.
 type replica struct {
 	id string
-	// born is the Unix millisecond of the start.
-	born     int64
-	host     int
-	address  string
-	server   *http.Server
-	sequence int
-	draining bool
-	turn     int
-	// words is what it says in its answers of whether it takes requests.
-	words words
-	cold  coldness
-	limit namedLimit
+	// startedMs is the time of the start in Unix milliseconds.
+	startedMs       int64
+	host            int
+	address         string
+	server          *http.Server
+	sequence        int
+	draining        bool
+	nextControlNode int
+	// notices is what the replica announces in its answers.
+	notices notices
+	cold    coldPeriod
+	limit   announcedLimit
 }
 
-func newReplicas(in *installation, check *checker, zones *zoneOrders, count int) (*replicas, error) {
+func newReplicas(in *installation, check *checker, zones *zoneDrains, count int) (*replicas, error) {
 	r := &replicas{in: in, check: check, zones: zones, client: &http.Client{Timeout: time.Second}}
 	for i := 1; i <= count; i++ {
-		one, err := r.start(i)
+		rep, err := r.start(i)
 		if err != nil {
 			return nil, err
 		}
-		one.sequence = longRun
+		rep.sequence = initialSequence
 	}
 	return r, nil
 }
 
-// start starts a new incarnation at a host.
+// start starts a replica with a new ID at a host.
 func (r *replicas) start(host int) (*replica, error) { return r.startAs(host, "") }
 
-// startAs starts an incarnation at a host, under an ID if that is not "".
+// startAs starts a replica at a host, under the given ID unless that is "".
 func (r *replicas) startAs(host int, id string) (*replica, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next++
+	r.started++
 	if id == "" {
-		id = fmt.Sprintf("i-%03d", r.next)
+		id = fmt.Sprintf("i-%03d", r.started)
 	}
-	one := &replica{id: id, born: time.Now().UnixMilli(), host: host, address: fmt.Sprintf("%s%d:%d", replicaNet, host, r.in.callPort())}
-	listener, err := net.Listen("tcp", one.address)
+	rep := &replica{id: id, startedMs: time.Now().UnixMilli(), host: host, address: fmt.Sprintf("%s%d:%d", replicaNet, host, r.in.callPort())}
+	listener, err := net.Listen("tcp", rep.address)
 	if err != nil {
 		return nil, err
 	}
-	one.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) { r.answer(one, w, request) })}
-	go func() { _ = one.server.Serve(listener) }()
-	r.list = append(r.list, one)
-	return one, nil
+	rep.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) { r.answer(rep, w, request) })}
+	go func() { _ = rep.server.Serve(listener) }()
+	r.list = append(r.list, rep)
+	return rep, nil
 }
 
 func (r *replicas) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, one := range r.list {
-		_ = one.server.Close()
+	for _, rep := range r.list {
+		_ = rep.server.Close()
 	}
 }
 
-// answer runs a request: the first letter of its path says of which kind it is.
-func (r *replicas) answer(one *replica, w http.ResponseWriter, request *http.Request) {
+// answer runs a request; the first letter of its path selects the kind.
+func (r *replicas) answer(rep *replica, w http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get(idHeader)
 	w.Header().Set(idHeader, id)
-	if expected := request.Header.Get("X-Expected-Replica"); expected != "" && expected != one.id {
+	if expected := request.Header.Get("X-Expected-Replica"); expected != "" && expected != rep.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if at := r.check.drainedAt(one.id); !at.IsZero() && time.Since(at) > drainGrace && r.settled(request.RemoteAddr) {
-		r.check.late("drain", "%s got request %s %s after its leaving was acknowledged", one.id, id, time.Since(at))
+	if at := r.check.drainAcknowledgedAt(rep.id); !at.IsZero() && time.Since(at) > drainGrace && r.faultFree(request.RemoteAddr) {
+		r.check.late("drain", "%s got request %s %s after its leaving was acknowledged", rep.id, id, time.Since(at))
 	}
-	r.checkZone(one, id)
-	r.checkCold(one)
-	r.checkLimit(one, request)
-	one.limit.name(w.Header(), request.Header.Get(viaHeader), time.Now())
-	rest, away, leaves := r.arrived(one, request)
-	r.check.account(id, request.Header, !away)
-	if leaves {
+	r.checkZone(rep, id)
+	r.checkCold(rep)
+	r.checkLimit(rep, request)
+	rep.limit.announce(w.Header(), request.Header.Get(gatewayHeader), time.Now())
+	backoff, refused, leaving := r.checkNotices(rep, request)
+	r.check.checkAccount(id, request.Header, !refused)
+	if leaving {
 		w.Header().Set("Server-Leaving", "1")
 	}
-	if away {
-		turnAway(w, rest)
+	if refused {
+		refuse(w, backoff)
 		return
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	if string(body) == deadlyBody {
-		r.dies(one)
+	if string(body) == crashBody {
+		r.crashOnContent(rep)
 		return
 	}
-	w.Header().Set(stampHeader, one.id+"."+id)
+	w.Header().Set(stampHeader, rep.id+"."+id)
 	switch request.URL.Path[1] {
 	case 'u':
-		r.check.ran(id, one.id)
+		r.check.recordRun(id, rep.id)
 		time.Sleep(10 * time.Millisecond)
 		_, _ = fmt.Fprintf(w, "%s:%s", id, body)
 	case 'e':
@@ -153,10 +154,10 @@
 	}
 }
 
-// settled reports whether everything has been calm for so long that rules with a
-// time bound hold.
-func (r *replicas) settled(string) bool {
-	since := r.in.coreCalmSince()
+// faultFree reports whether the control nodes and gateways have been free of faults long enough for
+// time limits to apply.
+func (r *replicas) faultFree(string) bool {
+	since := r.in.controlFaultFreeSince()
 	if since.IsZero() || time.Since(since) < 5*time.Second {
 		return false
 	}
@@ -184,45 +185,45 @@
 	}
 }
 
-// beat lets every replica register again and again.
-func (r *replicas) beat(ctx context.Context) {
+// sendHeartbeats registers every replica at regular intervals.
+func (r *replicas) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		list := append([]*replica(nil), r.list...)
 		r.mu.Unlock()
-		for _, one := range list {
-			if one.draining {
+		for _, rep := range list {
+			if rep.draining {
 				continue
 			}
-			go r.register(one, "ready")
+			go r.register(rep, "ready")
 		}
-		time.Sleep(beatEvery)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
-// register calls control nodes in turn until one acknowledges.
-func (r *replicas) register(one *replica, state string) bool {
+// register sends a replica's state to the control nodes in turn until one acknowledges it.
+func (r *replicas) register(rep *replica, state string) bool {
 	r.mu.Lock()
-	one.sequence++
-	sequence := one.sequence
+	rep.sequence++
+	sequence := rep.sequence
 	r.mu.Unlock()
-	cold := one.cold.left()
-	body, err := json.Marshal(map[string]any{"service": "s", "address": one.address, "zone": zoneOf(one.host), "version": "v1", "slots": 16, "state": state, "sequence": sequence, "born": one.born, "cold_remaining_ms": cold.Milliseconds()})
-	if err != nil || !r.call(one, http.MethodPut, body) {
+	cold := rep.cold.remaining()
+	body, err := json.Marshal(map[string]any{"service": "s", "address": rep.address, "zone": zoneOf(rep.host), "version": "v1", "slots": 16, "state": state, "sequence": sequence, "born": rep.startedMs, "cold_remaining_ms": cold.Milliseconds()})
+	if err != nil || !r.call(rep, http.MethodPut, body) {
 		return false
 	}
 	if cold > 0 {
-		one.cold.told()
+		rep.cold.recordAcknowledged()
 	}
 	return true
 }
 
-func (r *replicas) call(one *replica, method string, body []byte) bool {
-	for range controls {
+func (r *replicas) call(rep *replica, method string, body []byte) bool {
+	for range controlNodeCount {
 		r.mu.Lock()
-		m := r.in.controlNodes()[one.turn%controls]
+		m := r.in.controlNodes()[rep.nextControlNode%controlNodeCount]
 		r.mu.Unlock()
-		request, err := http.NewRequest(method, "http://"+r.in.outer(m, r.in.callPort())+"/-/replicas/"+one.id, bytes.NewReader(body))
+		request, err := http.NewRequest(method, "http://"+r.in.proxyAddress(m, r.in.callPort())+"/-/replicas/"+rep.id, bytes.NewReader(body))
 		if err != nil {
 			return false
 		}
@@ -235,15 +236,15 @@
 			}
 		}
 		r.mu.Lock()
-		one.turn++
+		rep.nextControlNode++
 		r.mu.Unlock()
 	}
 	return false
 }
 
-// turnOver lets replicas leave, in order or without a word, and new ones take
-// their addresses.
-func (r *replicas) turnOver(ctx context.Context, random *rand.Rand) {
+// replaceAtRandom repeatedly replaces a random replica by a new one at the same address, often after
+// draining it.
+func (r *replicas) replaceAtRandom(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -255,33 +256,33 @@
 			r.mu.Unlock()
 			continue
 		}
-		one := r.list[random.IntN(len(r.list))]
+		rep := r.list[random.IntN(len(r.list))]
 		r.mu.Unlock()
 		if random.IntN(3) > 0 {
-			r.leave(one)
+			r.drainAndRemove(rep)
 		}
-		r.replace(one)
+		r.replace(rep)
 	}
 }
 
-// leave drains a replica in order.
-func (r *replicas) leave(one *replica) {
+// drainAndRemove announces that a replica drains, waits and deletes its registration.
+func (r *replicas) drainAndRemove(rep *replica) {
 	r.mu.Lock()
-	one.draining = true
+	rep.draining = true
 	r.mu.Unlock()
-	if r.register(one, "draining") {
-		r.check.drain(one.id)
+	if r.register(rep, "draining") {
+		r.check.recordDrain(rep.id)
 		r.check.count("drains")
 	}
 	time.Sleep(drainGrace + time.Second)
-	r.call(one, http.MethodDelete, nil)
+	r.call(rep, http.MethodDelete, nil)
 }
 
-// replace ends an incarnation and starts the next at its address.
-func (r *replicas) replace(one *replica) {
-	if !r.remove(one) {
+// replace stops a replica and starts a new one at its address.
+func (r *replicas) replace(rep *replica) {
+	if !r.remove(rep) {
 		return
 	}
-	_ = one.server.Close()
-	r.startAgain(one.host, "")
+	_ = rep.server.Close()
+	r.startAgain(rep.host, "")
 }
--- a/soak/slow.go
+++ b/soak/slow.go
@@ -12,53 +12,55 @@
 )
 
 const (
-	// slowEach is how many clients at each gateway ask for long answers and read them late.
-	slowEach = 6
-	// longAnswer is the length of such an answer, more than a connection's buffers hold.
-	longAnswer = 600 << 10
-	// slowReads is how long such a client does not read, within its request's time.
-	slowReads = 1500 * time.Millisecond
-	// slowPause is how long it waits before the next one.
-	slowPause = 300 * time.Millisecond
-	// slowBuffer is what its host takes in without being read.
-	slowBuffer = 64 << 10
-	// memoryEvery is the pause between two looks at what gateways take, memoryMB what they may.
-	memoryEvery = 500 * time.Millisecond
-	memoryMB    = 200
+	// slowClientsPerGateway is how many clients of each gateway read long answers late.
+	slowClientsPerGateway = 6
+	// longAnswerBytes is the length of such an answer, more than a connection's buffers hold.
+	longAnswerBytes = 600 << 10
+	// readDelay is how long such a client waits before it reads; it is shorter than the request's
+	// deadline.
+	readDelay = 1500 * time.Millisecond
+	// slowClientPause is the pause between two requests of such a client.
+	slowClientPause = 300 * time.Millisecond
+	// slowReadBuffer is the client's receive buffer in bytes.
+	slowReadBuffer = 64 << 10
+	// memoryInterval is the interval at which gateways' memory is checked, maxMemoryMB what each may
+	// use.
+	memoryInterval = 500 * time.Millisecond
+	maxMemoryMB    = 200
 )
 
-// longBody is the answer to a request for a long one.
+// longBody returns the long answer to a request.
 func longBody(id string) string {
 	line := id + " "
-	return strings.Repeat(line, longAnswer/len(line))
+	return strings.Repeat(line, longAnswerBytes/len(line))
 }
 
-// readSlowly asks for long answers, one after the other, and reads each late. What arrives whole has
-// to be the right one; one that does not arrive in its time may break off.
+// readSlowly requests long answers one at a time and reads each late. An answer that arrives whole
+// must be the right one; one that misses its deadline may be cut off.
 func (c *clients) readSlowly(ctx context.Context, m *member) {
 	defer c.work.Done()
 	dialer := net.Dialer{Timeout: time.Second}
-	client := &http.Client{Timeout: 2 * deadline, Transport: &http.Transport{
+	client := &http.Client{Timeout: 2 * clientTimeout, Transport: &http.Transport{
 		DisableKeepAlives: true,
-		ReadBufferSize:    slowBuffer,
+		ReadBufferSize:    slowReadBuffer,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return conn, conn.(*net.TCPConn).SetReadBuffer(slowBuffer)
+			return conn, conn.(*net.TCPConn).SetReadBuffer(slowReadBuffer)
 		},
 	}}
 	for ctx.Err() == nil {
-		time.Sleep(slowPause)
-		c.readLate(client, m)
+		time.Sleep(slowClientPause)
+		c.readLongAnswer(client, m)
 	}
 }
 
-// readLate plays one request of a slow client.
-func (c *clients) readLate(client *http.Client, m *member) {
+// readLongAnswer sends one request and reads its answer late.
+func (c *clients) readLongAnswer(client *http.Client, m *member) {
 	id := c.id()
-	request, err := http.NewRequest(http.MethodGet, "http://"+c.in.outer(m, c.in.callPort())+"/l/x", nil)
+	request, err := http.NewRequest(http.MethodGet, "http://"+c.in.proxyAddress(m, c.in.callPort())+"/l/x", nil)
 	if err != nil {
 		return
 	}
@@ -75,7 +77,7 @@
 		c.check.count("slow clients refused")
 		return
 	}
-	time.Sleep(slowReads)
+	time.Sleep(readDelay)
 	body, err := io.ReadAll(got.Body)
 	switch {
 	case err != nil:
@@ -87,20 +89,21 @@
 	}
 }
 
-// watchMemory holds that no gateway takes more memory than it has.
+// watchMemory checks that no gateway uses more memory than its limit.
 func (in *installation) watchMemory(ctx context.Context, check *checker) {
 	for ctx.Err() == nil {
-		time.Sleep(memoryEvery)
+		time.Sleep(memoryInterval)
 		for _, m := range in.gatewayNodes() {
-			if taken := m.memory(); taken > memoryMB<<10 {
+			if taken := m.residentKB(); taken > maxMemoryMB<<10 {
 				check.fail("memory", "%s takes %d MB", m.name, taken>>10)
 			}
 		}
 	}
 }
 
-// memory returns what the member's process holds in memory, in kilobytes, 0 while it does not run.
-func (m *member) memory() int {
+// residentKB returns the resident memory of the member's process in kilobytes, 0 while it does not
+// run.
+func (m *member) residentKB() int {
 	m.mu.Lock()
 	process := m.process
 	m.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The short run that is part of the tests. Seeds that ever failed are kept here
-// with the cause; none has so far.
+// Options of the short run that is part of the tests. Seeds that failed are kept here with the
+// cause; none has so far.
 const (
 	testSeed     = 1
 	testSeconds  = 6
@@ -19,8 +19,8 @@
 	testPort     = 29000
 )
 
-// TestShortSoak builds the real programs and plays one seed on them, without the
-// checks that bound a time: how fast the machine is, is not known here.
+// TestShortSoak builds the real programs and runs one seed on them. Time limits are not checked, as
+// the speed of the machine is unknown.
 func TestShortSoak(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-tags", "stdjson,soak", "-o", bin+string(filepath.Separator), "../cmd/moorspool-fleet-gateway", "../cmd/moorspool-fleet-control")
@@ -37,38 +37,38 @@
 	}
 }
 
-// TestTheCheckerFindsWhatIsBroken: each promise, broken by hand, is reported.
-func TestTheCheckerFindsWhatIsBroken(t *testing.T) {
+// TestCheckerReportsViolations checks that a violation of each rule is reported.
+func TestCheckerReportsViolations(t *testing.T) {
 	broken := map[string]func(c *checker){
-		"twice":         func(c *checker) { c.ran("q1", "a"); c.ran("q1", "b") },
-		"false promise": func(c *checker) { c.promise("q1", 503); c.ran("q1", "a") },
+		"twice":         func(c *checker) { c.recordRun("q1", "a"); c.recordRun("q1", "b") },
+		"false promise": func(c *checker) { c.recordNotRun("q1", 503); c.recordRun("q1", "a") },
 		"mixed": func(c *checker) {
-			(&clients{check: c}).judgeBody("u", "q1", response{stamp: "a.q2", body: "q1:body of q1"})
+			(&clients{check: c}).checkBody("u", "q1", response{stamp: "a.q2", body: "q1:body of q1"})
 		},
-		"mixed stream": func(c *checker) { (&clients{check: c}).judgeBody("e", "q1", response{stamp: "a.q1", body: "id: 1\n"}) },
+		"mixed stream": func(c *checker) { (&clients{check: c}).checkBody("e", "q1", response{stamp: "a.q1", body: "id: 1\n"}) },
 	}
-	for name, spoil := range broken {
+	for name, violate := range broken {
 		t.Run(name, func(t *testing.T) {
 			c := newChecker()
-			spoil(c)
-			c.finish(&installation{})
+			violate(c)
+			c.checkAtEnd(&installation{})
 			if len(c.findings()) != 1 {
 				t.Errorf("findings: %v", c.findings())
 			}
 		})
 	}
-	sound := newChecker()
-	sound.ran("q1", "a")
-	sound.promise("q2", 503)
-	(&clients{check: sound}).judgeBody("u", "q1", response{stamp: "a.q1", body: "q1:body of q1"})
-	sound.finish(&installation{})
-	if len(sound.findings()) != 0 {
-		t.Errorf("nothing was broken: %v", sound.findings())
+	valid := newChecker()
+	valid.recordRun("q1", "a")
+	valid.recordNotRun("q2", 503)
+	(&clients{check: valid}).checkBody("u", "q1", response{stamp: "a.q1", body: "q1:body of q1"})
+	valid.checkAtEnd(&installation{})
+	if len(valid.findings()) != 0 {
+		t.Errorf("nothing was broken: %v", valid.findings())
 	}
 }
 
-// TestTheMembershipIsReadFromMetrics among all other lines.
-func TestTheMembershipIsReadFromMetrics(t *testing.T) {
+// TestMembershipIsParsedFromMetrics checks that the membership gauges are found among other metrics.
+func TestMembershipIsParsedFromMetrics(t *testing.T) {
 	text := "# TYPE moorspool_control_voters gauge\nmoorspool_control_voters 3\nmoorspool_control_voters_heard 2\n" +
 		"moorspool_control_leading 1\nmoorspool_control_member 1\nmoorspool_control_control_bytes_in 7\n"
 	got, err := readMembership(strings.NewReader(text))
@@ -78,11 +78,11 @@
 	}
 }
 
-// TestARunRefusesAddressesInUse: once the processes of a run that had been ended
-// with its shell stayed behind; the next runs took their answers for their own.
-func TestARunRefusesAddressesInUse(t *testing.T) {
+// TestRunRefusesAddressesInUse guards against taking the answers of processes that an earlier run
+// left behind for this run's: that happened after a run had been killed together with its shell.
+func TestRunRefusesAddressesInUse(t *testing.T) {
 	port := testPort + 4000
-	left, err := net.Listen("tcp", fmt.Sprintf("%s1:%d", innerNet, port))
+	left, err := net.Listen("tcp", fmt.Sprintf("%s1:%d", processNet, port))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/soak/upgrade.go
+++ b/soak/upgrade.go
@@ -16,20 +16,20 @@
 const (
 	// upgradePause is the pause between two replacements.
 	upgradePause = 2 * time.Second
-	// upgradeSpan is how long the load goes on in a measurement of an upgrade.
-	upgradeSpan = 60 * time.Second
-	// upgradeAfter is when it begins.
-	upgradeAfter = 7 * time.Second
-	// stopLimit is how long a process has to end after it was told to.
-	stopLimit = 8 * time.Second
-	// aside is how long clients keep away from a gateway before and after it is replaced, as the
-	// platform's balancer does.
-	aside = time.Second
+	// upgradeDuration is how long the load runs while an upgrade is measured.
+	upgradeDuration = 60 * time.Second
+	// upgradeStart is when the first process is replaced.
+	upgradeStart = 7 * time.Second
+	// stopTimeout is how long a process may take to exit after SIGTERM.
+	stopTimeout = 8 * time.Second
+	// balancerLag is how long before and after its replacement clients send no requests to a
+	// gateway, as with the platform's balancer.
+	balancerLag = time.Second
 )
 
-// buildOf builds the programs of a commit of this repository into a folder that is kept, and
-// returns that.
-func buildOf(commit string) (string, error) {
+// buildCommit builds the programs of a commit of this repository and returns their folder, which is
+// kept for later runs.
+func buildCommit(commit string) (string, error) {
 	folder, err := filepath.Abs(filepath.Join("run", "builds", commit))
 	if err != nil {
 		return "", err
@@ -54,7 +54,7 @@
 	return bin, nil
 }
 
-// program returns where a member's program lies: that of its own build if it has one.
+// program returns the path of a member's program, from the member's own build if it has one.
 func (in *installation) program(m *member) string {
 	if m.bin != "" {
 		return filepath.Join(m.bin, m.program)
@@ -62,31 +62,32 @@
 	return filepath.Join(in.options.Bin, m.program)
 }
 
-// setBuild lets members start with a build from now on.
+// setBuild sets the build that members are started with from now on.
 func (in *installation) setBuild(bin string) {
 	for _, m := range in.members {
 		m.bin = bin
 	}
 }
 
-// replace ends a member in order and starts it with a build, with its settings and folder.
+// replace stops a member gracefully and starts it from another build with the same settings and data
+// folder.
 func (in *installation) replace(m *member, bin string) error {
-	m.trouble()
-	time.Sleep(aside)
+	m.beginFault()
+	time.Sleep(balancerLag)
 	m.signal(syscall.SIGTERM)
-	if !m.wait(stopLimit) {
+	if !m.waitForExit(stopTimeout) {
 		return errors.Errorf("%s did not end", m.name)
 	}
 	m.bin = bin
 	if err := in.start(m); err != nil {
 		return err
 	}
-	time.Sleep(aside)
-	m.calm()
+	time.Sleep(balancerLag)
+	m.endFault()
 	return nil
 }
 
-// upgradeOrder returns the members in the order in which they are replaced.
+// upgradeOrder returns the members in the order of their replacement.
 func (in *installation) upgradeOrder(order string, random *rand.Rand) []*member {
 	controls := append([]*member(nil), in.controlNodes()...)
 	gateways := append([]*member(nil), in.gatewayNodes()...)
@@ -101,10 +102,10 @@
 	return append(controls, gateways...)
 }
 
-// upgrade replaces all members one after the other with another build.
+// upgrade replaces all members one at a time with another build.
 func upgrade(to string) func(ctx context.Context, r *replicas, c *clients) {
 	return func(ctx context.Context, r *replicas, _ *clients) {
-		time.Sleep(upgradeAfter)
+		time.Sleep(upgradeStart)
 		for _, m := range r.in.upgradeOrder(r.in.options.Order, rand.New(rand.NewPCG(r.in.options.Seed, 12))) {
 			if ctx.Err() != nil {
 				fmt.Println("the upgrade was not over in time")
--- a/soak/zones.go
+++ b/soak/zones.go
@@ -10,71 +10,74 @@
 )
 
 const (
-	// zoneCount is how many availability zones the replicas are in.
 	zoneCount = 3
-	// zoneOrderFor is for how long an order about a zone is sent again, the default of settings.
-	zoneOrderFor = 8 * time.Second
-	// zonesEvery and zoneDrainedFor are the pause between two drains and how long each lasts.
-	zonesEvery     = 2 * time.Second
-	zoneDrainedFor = 4 * time.Second
-	// zoneSlack is after how long every calm gateway acts on an order that was acknowledged.
-	zoneSlack = 2 * time.Second
+	// zoneOrderTimeout is how long an order about a zone is retried; it is the default in the
+	// settings.
+	zoneOrderTimeout = 8 * time.Second
+	// zoneDrainPause is the pause between two drains, zoneDrainDuration how long each lasts.
+	zoneDrainPause    = 2 * time.Second
+	zoneDrainDuration = 4 * time.Second
+	// zoneNoticeTime is how long after its acknowledgement every gateway without a fault must follow
+	// an order.
+	zoneNoticeTime = 2 * time.Second
 )
 
-// zoneOf returns the availability zone of a host.
 func zoneOf(host int) string { return fmt.Sprint("zone-", host%zoneCount) }
 
-// zoneOrders are what operators ordered about availability zones; they are safe for concurrent use.
-type zoneOrders struct {
+// zoneDrains records which availability zones operators have drained. It is safe for concurrent use.
+type zoneDrains struct {
 	mu sync.Mutex
-	// drained is since when a zone's drain is acknowledged and its end not ordered.
-	drained map[string]time.Time
+	// drainedSince holds when each zone's drain was acknowledged; it is zero from the order to end
+	// the drain on.
+	drainedSince map[string]time.Time
 }
 
-func newZoneOrders() *zoneOrders { return &zoneOrders{drained: map[string]time.Time{}} }
+func newZoneDrains() *zoneDrains { return &zoneDrains{drainedSince: map[string]time.Time{}} }
 
-func (z *zoneOrders) set(zone string, at time.Time) {
+func (z *zoneDrains) set(zone string, at time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.drained[zone] = at
+	z.drainedSince[zone] = at
 }
 
 // since returns since when a zone is drained, the zero time if it is not.
-func (z *zoneOrders) since(zone string) time.Time {
+func (z *zoneDrains) since(zone string) time.Time {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.drained[zone]
+	return z.drainedSince[zone]
 }
 
-// drainZones drains a zone now and then, and ends that. At times a copy of the first order follows.
+// drainZones repeatedly drains a random zone and ends the drain, sometimes followed by a late copy
+// of the drain order.
 func (o *operators) drainZones(ctx context.Context, random *rand.Rand) {
 	defer o.work.Done()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(zonesEvery):
+		case <-time.After(zoneDrainPause):
 		}
 		zone := zoneOf(random.IntN(zoneCount))
-		if o.orderZone(http.MethodPost, zone, random.IntN(controls)) {
+		if o.orderZone(http.MethodPost, zone, random.IntN(controlNodeCount)) {
 			o.check.count("zones drained")
 			select {
 			case <-ctx.Done():
-			case <-time.After(zoneDrainedFor):
+			case <-time.After(zoneDrainDuration):
 			}
 		}
 		drained := o.zones.since(zone)
-		ended := o.orderZone(http.MethodDelete, zone, random.IntN(controls))
+		ended := o.orderZone(http.MethodDelete, zone, random.IntN(controlNodeCount))
 		if ended && random.IntN(2) == 0 {
-			o.repeatDrain(zone, drained, random.IntN(controls))
+			o.repeatDrain(zone, drained, random.IntN(controlNodeCount))
 		}
 	}
 }
 
-// repeatDrain sends a copy of the order that drained a zone, after the end of the drain.
+// repeatDrain sends a copy of a drain order after the end of the drain; the copy must have no
+// effect.
 func (o *operators) repeatDrain(zone string, drained time.Time, control int) {
 	status := o.callZone(http.MethodPost, zone, control)
-	if status == http.StatusOK && time.Since(drained) < zoneOrderFor {
+	if status == http.StatusOK && time.Since(drained) < zoneOrderTimeout {
 		o.check.fail("zone", "a copy of an order to drain %s was carried out after the drain's end", zone)
 	}
 	o.check.count("copies of zone orders")
@@ -87,15 +90,15 @@
 	}
 }
 
-// orderZone sends an order to control nodes in turn until one acknowledges it.
+// orderZone sends an order to the control nodes in turn until one acknowledges it.
 func (o *operators) orderZone(method, zone string, first int) bool {
 	if method == http.MethodDelete {
-		// From the first copy on the zone may take requests again.
+		// The zone may receive requests again as soon as the first copy is sent.
 		o.zones.set(zone, time.Time{})
 	}
 	began := time.Now()
-	for turn := first; time.Since(began) < zoneOrderFor; turn++ {
-		status := o.callZone(method, zone, turn%controls)
+	for turn := first; time.Since(began) < zoneOrderTimeout; turn++ {
+		status := o.callZone(method, zone, turn%controlNodeCount)
 		if status == http.StatusOK {
 			if method == http.MethodPost {
 				o.zones.set(zone, time.Now())
@@ -113,7 +116,7 @@
 
 func (o *operators) callZone(method, zone string, control int) int {
 	m := o.in.controlNodes()[control]
-	request, err := http.NewRequest(method, "http://"+o.in.outer(m, o.in.callPort())+"/-/evacuation/"+zone, nil)
+	request, err := http.NewRequest(method, "http://"+o.in.proxyAddress(m, o.in.callPort())+"/-/evacuation/"+zone, nil)
 	if err != nil {
 		return 0
 	}
@@ -125,10 +128,10 @@
 	return response.StatusCode
 }
 
-// checkZone holds that a request does not reach a drained zone.
-func (r *replicas) checkZone(one *replica, id string) {
-	zone := zoneOf(one.host)
-	if at := r.zones.since(zone); !at.IsZero() && time.Since(at) > zoneSlack && r.settled("") {
-		r.check.late("zone", "%s in %s got request %s %s after the zone's drain was acknowledged", one.id, zone, id, time.Since(at))
+// checkZone checks that no request reaches a drained zone.
+func (r *replicas) checkZone(rep *replica, id string) {
+	zone := zoneOf(rep.host)
+	if at := r.zones.since(zone); !at.IsZero() && time.Since(at) > zoneNoticeTime && r.faultFree("") {
+		r.check.late("zone", "%s in %s got request %s %s after the zone's drain was acknowledged", rep.id, zone, id, time.Since(at))
 	}
 }
