--- a/src/gateway/admit.go
+++ b/src/gateway/admit.go
@@ -9,61 +9,61 @@
 	"github.com/moorspool/moorspool/src/route"
 )
 
-// The times of admission.
+// Timing of admission.
 const (
-	// comeBack is told to clients where nothing better is known.
-	comeBack = time.Second
-	// lookAgain is how long a queued request waits before it looks by itself:
-	// places also become free by other gateways' doing.
-	lookAgain = 20 * time.Millisecond
+	defaultRetryAfter = time.Second
+	// queuePollInterval is how often a queued request looks for a free slot
+	// without being notified: requests of other gateways free slots as well.
+	queuePollInterval = 20 * time.Millisecond
 )
 
-// admit finds the host for a request's next attempt. It waits in the model's
-// queue while every host that could serve is full, and refuses at once what
-// can't be met in time: a request is never held back only to be refused later.
+// admit selects the host for a request's next attempt. While every suitable
+// host is full, the request waits in its model's queue. A request whose expected
+// wait exceeds its limit is refused at once instead of being queued first.
 func (s *Server) admit(ctx context.Context, r *request) (*route.Host, *Refusal) {
 	host, verdict := s.pick(r)
 	if verdict == route.Full {
-		host, verdict = s.wait(ctx, r)
+		host, verdict = s.waitInQueue(ctx, r)
 		if refusal := r.waitRefusal(verdict); refusal != nil {
 			return nil, refusal
 		}
 	}
 	if verdict == route.Missing {
-		return nil, s.noCopy(r)
+		return nil, s.refuseNoCopy(r)
 	}
 	if !r.deadline.IsZero() && s.now().After(r.deadline) {
-		return nil, r.refuse(consts.StatusGatewayTimeout, ReasonTooLate, DidNotRun, "the deadline has passed")
+		return nil, r.refuse(consts.StatusGatewayTimeout, ReasonDeadline, DidNotRun, "the deadline has passed")
 	}
 	return host, nil
 }
 
-// The verdicts of a wait besides route's own.
+// The outcomes of a wait, in addition to the verdicts of package route.
 const (
 	verdictQueueFull route.Verdict = 100 + iota
-	verdictTooLate
+	verdictDeadline
 	verdictOvertaken
-	verdictGone
+	verdictClientGone
 )
 
 func (r *request) waitRefusal(verdict route.Verdict) *Refusal {
 	switch verdict {
 	case verdictQueueFull:
-		return r.refuse(consts.StatusTooManyRequests, ReasonQueueFull, DidNotRun, "the queue of this model is full").retryAfter(comeBack)
-	case verdictTooLate:
-		return r.refuse(consts.StatusServiceUnavailable, ReasonTooLate, DidNotRun, "no place will be free in time").retryAfter(comeBack)
+		return r.refuse(consts.StatusTooManyRequests, ReasonQueueFull, DidNotRun, "the queue of this model is full").retryAfter(defaultRetryAfter)
+	case verdictDeadline:
+		return r.refuse(consts.StatusServiceUnavailable, ReasonDeadline, DidNotRun, "no place will be free in time").retryAfter(defaultRetryAfter)
 	case verdictOvertaken:
-		return r.refuse(consts.StatusServiceUnavailable, ReasonOvertaken, DidNotRun, "a request of higher priority took the place in the queue").retryAfter(comeBack)
-	case verdictGone:
-		return r.refuse(statusClientGone, ReasonTooLate, DidNotRun, "the client has gone")
+		return r.refuse(consts.StatusServiceUnavailable, ReasonOvertaken, DidNotRun, "a request of higher priority took the place in the queue").retryAfter(defaultRetryAfter)
+	case verdictClientGone:
+		return r.refuse(statusClientClosedRequest, ReasonDeadline, DidNotRun, "the client has gone")
 	}
 	return nil
 }
 
-// statusClientGone is what proxies commonly log for a client that closed first.
-const statusClientGone = 499
+// statusClientClosedRequest is the status that proxies such as nginx log when
+// the client closes the connection before the response.
+const statusClientClosedRequest = 499
 
-func (s *Server) noCopy(r *request) *Refusal {
+func (s *Server) refuseNoCopy(r *request) *Refusal {
 	name := r.want.Model
 	if r.want.Pool != "" {
 		name = r.want.Pool
@@ -72,9 +72,9 @@
 	}
 	message := "no ready copy of " + name + " is in reach of this availability zone"
 	if r.retries > 0 {
-		return r.refuse(consts.StatusServiceUnavailable, ReasonExhausted, DidNotRun, message+" besides those tried").retryAfter(comeBack)
+		return r.refuse(consts.StatusServiceUnavailable, ReasonAttemptsExhausted, DidNotRun, message+" besides those tried").retryAfter(defaultRetryAfter)
 	}
-	return r.refuse(consts.StatusServiceUnavailable, ReasonNoCopy, DidNotRun, message).retryAfter(comeBack)
+	return r.refuse(consts.StatusServiceUnavailable, ReasonNoCopy, DidNotRun, message).retryAfter(defaultRetryAfter)
 }
 
 func (r *request) queueName() string {
@@ -84,23 +84,23 @@
 	return r.want.Model
 }
 
-// wait queues a request until a host has room.
-func (s *Server) wait(ctx context.Context, r *request) (*route.Host, route.Verdict) {
-	began := s.now()
-	until := began.Add(s.queueWait(r))
+// waitInQueue queues a request until a host has a free slot.
+func (s *Server) waitInQueue(ctx context.Context, r *request) (*route.Host, route.Verdict) {
+	start := s.now()
+	until := start.Add(s.queueWait(r))
 	if !r.deadline.IsZero() && r.deadline.Before(until) {
 		until = r.deadline
 	}
-	if began.Add(s.expectedWait(r)).After(until) {
-		return nil, verdictTooLate
+	if start.Add(s.expectedWait(r)).After(until) {
+		return nil, verdictDeadline
 	}
-	defer func() { s.metrics.queued.RecordDuration(s.now().Sub(began)) }()
+	defer func() { s.metrics.queued.RecordDuration(s.now().Sub(start)) }()
 	for {
-		ticket := s.queues.Join(r.queueName(), r.priority, began)
+		ticket := s.queues.Join(r.queueName(), r.priority, start)
 		if ticket == nil {
 			return nil, verdictQueueFull
 		}
-		verdict := s.await(ctx, ticket, until)
+		verdict := s.waitForTurn(ctx, ticket, until)
 		s.queues.Leave(ticket)
 		if verdict != route.Chosen {
 			return nil, verdict
@@ -111,33 +111,33 @@
 	}
 }
 
-// ticket is the part of limit.Ticket that a wait needs.
+// ticket is the part of limit.Ticket that waitForTurn uses.
 type ticket interface {
 	Called() <-chan struct{}
 	Lost() <-chan struct{}
 }
 
-// queueWait is the longest time in a queue after which an answer may still meet
-// its target: half of the time to the first token, the other half being the
-// engine's. A request without a target, and one whose client has a part of the
-// answer, wait as long as the settings say.
+// queueWait returns how long a request may be queued: at most half of its
+// target for the time to the first token, which leaves the other half to the
+// engine. Without a target, and when part of the response was already sent, the
+// limit is the one in the settings.
 func (s *Server) queueWait(r *request) time.Duration {
-	most := s.settings.Limits.QueueWait.Std()
-	if r.begun {
-		return most
+	maxWait := s.settings.Limits.QueueWait.Std()
+	if r.answerStarted {
+		return maxWait
 	}
 	if target := r.target.FirstToken.Std(); target > 0 {
-		return min(most, target/2)
+		return min(maxWait, target/2)
 	}
-	return most
+	return maxWait
 }
 
-func (s *Server) await(ctx context.Context, t ticket, until time.Time) route.Verdict {
-	left := until.Sub(s.now())
-	if left <= 0 {
-		return verdictTooLate
+func (s *Server) waitForTurn(ctx context.Context, t ticket, until time.Time) route.Verdict {
+	remaining := until.Sub(s.now())
+	if remaining <= 0 {
+		return verdictDeadline
 	}
-	timer := time.NewTimer(min(left, lookAgain))
+	timer := time.NewTimer(min(remaining, queuePollInterval))
 	defer timer.Stop()
 	select {
 	case <-t.Called():
@@ -145,13 +145,13 @@
 	case <-t.Lost():
 		return verdictOvertaken
 	case <-ctx.Done():
-		return verdictGone
+		return verdictClientGone
 	}
 	return route.Chosen
 }
 
-// expectedWait estimates the wait in a queue from those ahead and the time that
-// requests of late have taken.
+// expectedWait estimates the time in the queue from the number of requests
+// ahead and the duration of recent requests.
 func (s *Server) expectedWait(r *request) time.Duration {
 	waiting := s.queues.Waiting(r.queueName())
 	return s.routes.Table().Drain(r.want, waiting)
--- a/src/gateway/answer.go
+++ b/src/gateway/answer.go
@@ -13,29 +13,29 @@
 	"github.com/moorspool/moorspool/src/engine"
 )
 
-// answer is what a client gets of a completion: a stream as it comes, or the
-// whole at the end.
-type answer struct {
-	c      *app.RequestContext
-	path   string
-	stream bool
-	named  string
-	id     string
-	writer *sse.Writer
-	text   strings.Builder
-	tokens int
-	finish string
+// answerWriter writes the response to a completion request: an event stream, or
+// a single JSON object once the answer is complete.
+type answerWriter struct {
+	c              *app.RequestContext
+	path           string
+	stream         bool
+	requestedModel string
+	id             string
+	writer         *sse.Writer
+	text           strings.Builder
+	tokens         int
+	finishReason   string
 }
 
-func newAnswer(c *app.RequestContext, path string, stream bool, named, id string) *answer {
-	return &answer{c: c, path: path, stream: stream, named: named, id: id}
+func newAnswerWriter(c *app.RequestContext, path string, stream bool, requestedModel, id string) *answerWriter {
+	return &answerWriter{c: c, path: path, stream: stream, requestedModel: requestedModel, id: id}
 }
 
-// begun reports whether the client has got anything yet.
-func (a *answer) begun() bool { return a.writer != nil }
+// started reports whether anything was sent to the client.
+func (a *answerWriter) started() bool { return a.writer != nil }
 
-// token hands one token on.
-func (a *answer) token(t engine.Token) error {
+// token adds one token to the response.
+func (a *answerWriter) token(t engine.Token) error {
 	if !a.stream {
 		return a.collect(t)
 	}
@@ -45,10 +45,10 @@
 	return a.writer.WriteEvent(strconv.FormatUint(t.ID, 10), "", t.Data)
 }
 
-// end ends a whole answer.
-func (a *answer) end() error {
+// writeEnd completes the response.
+func (a *answerWriter) writeEnd() error {
 	if !a.stream {
-		a.c.JSON(consts.StatusOK, a.whole())
+		a.c.JSON(consts.StatusOK, a.response())
 		return nil
 	}
 	if a.writer == nil {
@@ -60,9 +60,9 @@
 	return a.writer.Close()
 }
 
-// abort ends a stream that can't be made whole: an error event and no end mark,
-// so that no client takes the part for the whole.
-func (a *answer) abort(refusal *Refusal) {
+// abort ends a stream that can't be completed. It sends an error event and no
+// end mark, so that the client does not mistake the part for the complete answer.
+func (a *answerWriter) abort(refusal *Refusal) {
 	body, err := json.Marshal(refusalBody{Error: refusal})
 	if err == nil {
 		_ = a.writer.WriteEvent("", "error", body)
@@ -70,7 +70,7 @@
 	_ = a.writer.Close()
 }
 
-// chunk is one event of a stream in the usual interface.
+// chunk is one event of a stream in the OpenAI-compatible interface.
 type chunk struct {
 	Choices []chunkChoice `json:"choices"`
 }
@@ -83,7 +83,7 @@
 	FinishReason string `json:"finish_reason"`
 }
 
-func (a *answer) collect(t engine.Token) error {
+func (a *answerWriter) collect(t engine.Token) error {
 	var part chunk
 	if err := json.Unmarshal(t.Data, &part); err != nil {
 		return errors.Wrap(err, "an engine's event is not JSON")
@@ -92,52 +92,52 @@
 		a.text.WriteString(choice.Text)
 		a.text.WriteString(choice.Delta.Content)
 		if choice.FinishReason != "" {
-			a.finish = choice.FinishReason
+			a.finishReason = choice.FinishReason
 		}
 	}
 	a.tokens++
 	return nil
 }
 
-// The whole answer in the usual interface.
-type wholeAnswer struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   wholeUsage    `json:"usage"`
+// completionResponse is a complete answer in the OpenAI-compatible interface.
+type completionResponse struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   completionUsage    `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Text         *string       `json:"text,omitempty"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type completionChoice struct {
+	Index        int                `json:"index"`
+	Text         *string            `json:"text,omitempty"`
+	Message      *completionMessage `json:"message,omitempty"`
+	FinishReason string             `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-type wholeUsage struct {
+type completionUsage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func (a *answer) whole() wholeAnswer {
-	if a.finish == "" {
-		a.finish = "stop"
+func (a *answerWriter) response() completionResponse {
+	if a.finishReason == "" {
+		a.finishReason = "stop"
 	}
 	text := a.text.String()
-	whole := wholeAnswer{ID: a.id, Model: a.named, Usage: wholeUsage{CompletionTokens: a.tokens}}
-	choice := wholeChoice{FinishReason: a.finish}
+	response := completionResponse{ID: a.id, Model: a.requestedModel, Usage: completionUsage{CompletionTokens: a.tokens}}
+	choice := completionChoice{FinishReason: a.finishReason}
 	if a.path == engine.PathChat {
-		whole.Object = "chat.completion"
-		choice.Message = &wholeMessage{Role: "assistant", Content: text}
+		response.Object = "chat.completion"
+		choice.Message = &completionMessage{Role: "assistant", Content: text}
 	} else {
-		whole.Object = "text_completion"
+		response.Object = "text_completion"
 		choice.Text = &text
 	}
-	whole.Choices = []wholeChoice{choice}
-	return whole
+	response.Choices = []completionChoice{choice}
+	return response
 }
--- a/src/gateway/claim.go
+++ b/src/gateway/claim.go
@@ -11,41 +11,45 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of claims.
+// Timing of claims.
 const (
-	// claimWait outlasts an election; after that the call is refused as not run.
-	claimWait   = 2 * time.Second
-	settleWait  = 2 * time.Second
-	settleTries = 5
-	settlePause = 300 * time.Millisecond
+	// claimTimeout is longer than a leader election of the control nodes takes.
+	// When it expires, the call is refused as not run.
+	claimTimeout    = 2 * time.Second
+	settleTimeout   = 2 * time.Second
+	settleAttempts  = 5
+	claimRetryDelay = 300 * time.Millisecond
 )
 
-// onceClaim is this gateway's claim on a key, nil for calls without one.
+// onceClaim is a claim on the idempotency key of a call that must not be
+// repeated. It is nil for calls without such a key.
 type onceClaim struct {
 	server *Server
 	key    string
 	token  string
 }
 
-// claimFor claims a not-to-be-repeated call's key, if it has one. The call is
-// refused as not run when it was claimed before or no control node can say.
-func (s *Server) claimFor(ctx context.Context, r *request) (*onceClaim, *Refusal) {
+// claimKey claims the idempotency key of a call that must not be repeated, if it
+// has one. It refuses the call as not run if the key was claimed before, or if no
+// control node can tell.
+func (s *Server) claimKey(ctx context.Context, r *request) (*onceClaim, *Refusal) {
 	if !r.once || r.key == "" {
 		return nil, nil
 	}
 	claim := &onceClaim{server: s, key: r.queueName() + "\x00" + r.key, token: uuid.NewString()}
 	request := wire.ClaimRequest{Key: claim.key, Token: claim.token, Holder: s.node, Expiry: s.claimExpiry(r)}
-	wait := claimWait
+	wait := claimTimeout
 	if !r.deadline.IsZero() {
 		wait = min(wait, r.deadline.Sub(s.now()))
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	reply := s.askClaim(ctx, request)
+	reply := s.requestClaim(ctx, request)
 	if reply.Outcome != wire.Accepted {
-		// Nothing was sent to a backend server, whatever became of the claim.
+		// Nothing was sent to a backend server, so the key can be released even
+		// if the claim was granted.
 		go claim.release()
-		return nil, r.refuse(consts.StatusServiceUnavailable, ReasonNoControlNode, DidNotRun, "no control node could say whether the key was used before").retryAfter(comeBack)
+		return nil, r.refuse(consts.StatusServiceUnavailable, ReasonNoControlNode, DidNotRun, "no control node could say whether the key was used before").retryAfter(defaultRetryAfter)
 	}
 	if reply.State == wire.ClaimYours {
 		return claim, nil
@@ -55,8 +59,9 @@
 	return nil, refusal
 }
 
-// askClaim asks again with the same token while the answer is not clear.
-func (s *Server) askClaim(ctx context.Context, request wire.ClaimRequest) wire.ClaimReply {
+// requestClaim sends the request until a control node accepts it or the context
+// ends. Repeating it is safe, since the token stays the same.
+func (s *Server) requestClaim(ctx context.Context, request wire.ClaimRequest) wire.ClaimReply {
 	for {
 		var reply wire.ClaimReply
 		err := s.follower.Call(ctx, wire.MethodClaim, request, &reply)
@@ -66,19 +71,19 @@
 		select {
 		case <-ctx.Done():
 			return wire.ClaimReply{Outcome: wire.Unavailable}
-		case <-time.After(settlePause):
+		case <-time.After(claimRetryDelay):
 		}
 	}
 }
 
 func (s *Server) claimExpiry(r *request) config.Duration {
-	if known := s.follower.Set().Service(r.want.Pool); known != nil {
-		return known.ClaimExpiry
+	if definition := s.follower.Set().Service(r.want.Pool); definition != nil {
+		return definition.ClaimExpiry
 	}
 	return 0
 }
 
-// settle tells the control nodes what became of the run, in the background.
+// settle reports the outcome of the call to the control nodes, in the background.
 func (c *onceClaim) settle(refusal *Refusal) {
 	if c == nil {
 		return
@@ -93,20 +98,20 @@
 	}
 }
 
-// release frees a key whose call certainly did not run.
+// release frees the key of a call that certainly did not run.
 func (c *onceClaim) release() {
 	c.report(wire.SettleRequest{Key: c.key, Token: c.token, Released: true})
 }
 
 func (c *onceClaim) report(request wire.SettleRequest) {
-	for i := 0; i < settleTries; i++ {
-		ctx, cancel := context.WithTimeout(context.Background(), settleWait)
+	for i := 0; i < settleAttempts; i++ {
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		var reply wire.SettleReply
 		err := c.server.follower.Call(ctx, wire.MethodSettle, request, &reply)
 		cancel()
 		if err == nil && (reply.Outcome == wire.Accepted || reply.Outcome == wire.Refused) {
 			return
 		}
-		time.Sleep(settlePause << i)
+		time.Sleep(claimRetryDelay << i)
 	}
 }
--- a/src/gateway/completion.go
+++ b/src/gateway/completion.go
@@ -15,7 +15,7 @@
 	"github.com/moorspool/moorspool/src/trace"
 )
 
-// completion serves one chat or text completion.
+// completion serves a chat or text completion request.
 func (s *Server) completion(ctx context.Context, c *app.RequestContext) {
 	r, refusal := readHeaders(c, s.now())
 	if refusal == nil {
@@ -29,7 +29,7 @@
 	r.path = string(c.Path())
 	span := s.tracer.Start(trace.Extract(ctx, r.trace), "client request", r.id, r.want.Model, "")
 	defer span.End(nil)
-	claim, refusal := s.claimFor(ctx, r)
+	claim, refusal := s.claimKey(ctx, r)
 	if refusal != nil {
 		s.refuse(c, refusal)
 		return
@@ -42,56 +42,59 @@
 	}
 }
 
-// exchange is one request with its answer so far. It is used by one goroutine.
+// exchange is a completion request with the part of its answer that was relayed
+// so far. It is used by one goroutine.
 type exchange struct {
-	server *Server
-	r      *request
-	out    *answer
-	last   uint64
-	lastAt time.Time
-	first  time.Duration
-	// reached is set once a byte of the request was written to a backend server.
-	reached bool
+	server      *Server
+	r           *request
+	out         *answerWriter
+	lastToken   uint64
+	lastTokenAt time.Time
+	timeToFirst time.Duration
+	// requestSent is set once a byte of the request may have been written to a
+	// backend server.
+	requestSent bool
 }
 
 func newExchange(s *Server, r *request, c *app.RequestContext) *exchange {
-	return &exchange{server: s, r: r, out: newAnswer(c, r.path, r.stream, r.named, r.id)}
+	return &exchange{server: s, r: r, out: newAnswerWriter(c, r.path, r.stream, r.requestedModel, r.id)}
 }
 
-// run tries hosts until one has given the answer whole.
+// run attempts the request on one host after another until the answer is complete.
 func (x *exchange) run(ctx context.Context) *Refusal {
 	s := x.server
 	for attempt := 1; ; attempt++ {
 		host, refusal := s.admit(ctx, x.r)
 		if refusal != nil {
-			return x.truthful(refusal)
+			return x.correctNotRun(refusal)
 		}
 		err := x.attempt(ctx, host)
 		if err == nil {
 			x.finish(host)
 			return nil
 		}
-		if refusal := x.afterFailure(ctx, host, attempt, err); refusal != nil {
+		if refusal := x.handleFailure(ctx, host, attempt, err); refusal != nil {
 			return refusal
 		}
 	}
 }
 
-// truthful corrects a refusal that was made before the next attempt, when an
-// earlier attempt may have run.
-func (x *exchange) truthful(refusal *Refusal) *Refusal {
-	if x.last > 0 {
+// correctNotRun adjusts a refusal of admit, which considers only the next
+// attempt, when an earlier attempt ran or may have run.
+func (x *exchange) correctNotRun(refusal *Refusal) *Refusal {
+	if x.lastToken > 0 {
 		refusal.NotRun = DidRun
-	} else if x.reached {
+	} else if x.requestSent {
 		refusal.NotRun = RunUnknown
 	}
 	return refusal
 }
 
-// attempt sends the request, or what is left of it, to one host.
+// attempt sends the request to one host and relays the answer, from the first
+// token that the client does not have.
 func (x *exchange) attempt(ctx context.Context, host *route.Host) error {
 	s, r := x.server, x.r
-	began := s.now()
+	start := s.now()
 	span := s.tracer.Start(ctx, "backend attempt", r.id, r.want.Model, host.Name())
 	host.Begin()
 	r.tried.Add(host)
@@ -100,15 +103,15 @@
 	if err != nil {
 		host.Fail()
 	} else {
-		host.End(s.now().Sub(began), x.attainedOn(began))
+		host.End(s.now().Sub(start), x.attainedByHost(start))
 	}
 	s.queues.Release(r.queueName())
 	span.End(err)
 	return err
 }
 
-// heard takes in what an answer's headers say of its host.
-func (s *Server) heard(host *route.Host, load engine.Load) {
+// applyLoad records the load and state that a host reported in response headers.
+func (s *Server) applyLoad(host *route.Host, load engine.Load) {
 	if load.Known {
 		host.Reported(load.Running, load.Waiting, s.now())
 	}
@@ -117,12 +120,12 @@
 	}
 }
 
-// errClientGone means that the client no longer takes its answer.
+// errClientGone means that the client disconnected before the answer was complete.
 var errClientGone = errors.New("the client has gone")
 
 func (x *exchange) relay(ctx context.Context, host *route.Host, traceparent string) error {
 	s, r := x.server, x.r
-	call := engine.Request{Path: r.path, Body: r.body, ID: r.id, Priority: r.priority, ResumeFrom: x.last, Trace: traceparent}
+	call := engine.Request{Path: r.path, Body: r.body, ID: r.id, Priority: r.priority, ResumeFrom: x.lastToken, Trace: traceparent}
 	if !r.deadline.IsZero() {
 		call.Deadline = max(r.deadline.Sub(s.now()), time.Millisecond)
 	}
@@ -130,16 +133,16 @@
 	if err != nil {
 		return err
 	}
-	x.reached = true
+	x.requestSent = true
 	defer stream.Close()
-	s.heard(host, stream.Load())
+	s.applyLoad(host, stream.Load())
 	stop := context.AfterFunc(ctx, stream.Abort)
 	defer stop()
-	return x.pass(ctx, stream)
+	return x.relayTokens(ctx, stream)
 }
 
-// pass hands tokens on in their order, each exactly once.
-func (x *exchange) pass(ctx context.Context, stream *engine.Stream) error {
+// relayTokens relays tokens to the client in order, each exactly once.
+func (x *exchange) relayTokens(ctx context.Context, stream *engine.Stream) error {
 	for {
 		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
@@ -151,41 +154,41 @@
 		if err != nil {
 			return err
 		}
-		if token.ID <= x.last {
-			// An engine that goes on from an earlier token than asked for.
+		if token.ID <= x.lastToken {
+			// The engine resumed from an earlier token than requested.
 			continue
 		}
-		if token.ID != x.last+1 {
-			return errors.Wrapf(engine.ErrBroken, "token %d follows %d", token.ID, x.last)
+		if token.ID != x.lastToken+1 {
+			return errors.Wrapf(engine.ErrBroken, "token %d follows %d", token.ID, x.lastToken)
 		}
-		x.noteToken()
+		x.recordToken()
 		if err := x.out.token(token); err != nil {
 			return errClientGone
 		}
-		x.last = token.ID
-		x.r.begun = true
+		x.lastToken = token.ID
+		x.r.answerStarted = true
 	}
 }
 
-func (x *exchange) noteToken() {
+func (x *exchange) recordToken() {
 	now := x.server.now()
-	if x.last == 0 {
-		x.first = now.Sub(x.r.started)
-		x.server.metrics.firstToken.RecordDuration(x.first)
+	if x.lastToken == 0 {
+		x.timeToFirst = now.Sub(x.r.started)
+		x.server.metrics.firstToken.RecordDuration(x.timeToFirst)
 	}
-	x.lastAt = now
+	x.lastTokenAt = now
 }
 
-// finish ends an answer that is whole.
+// finish completes the response and records the request as finished.
 func (x *exchange) finish(host *route.Host) {
 	s, r := x.server, x.r
-	_ = x.out.end()
+	_ = x.out.writeEnd()
 	s.budget.Succeeded()
 	s.prefixes.Note(r.prefix, host)
 	s.routes.Served(r.want.Model, s.now().Sub(r.started))
 	s.metrics.finished.Inc(1)
-	if x.last > 1 {
-		s.metrics.between.RecordDuration(x.betweenTokens())
+	if x.lastToken > 1 {
+		s.metrics.tokenInterval.RecordDuration(x.meanTokenInterval())
 	}
 	if x.attained() {
 		s.metrics.attained.Inc(1)
@@ -193,109 +196,111 @@
 	s.ring.Add(event.Event{Kind: event.RequestFinished, Request: r.id, Model: r.want.Model, Host: host.Name()})
 }
 
-// attained reports whether the answer met its model's target, the wait in a
-// queue included.
+// attained reports whether the answer met the latency target of its model,
+// measured from the arrival of the request, so including the time in the queue.
 func (x *exchange) attained() bool {
 	target := x.r.target
-	if target.FirstToken > 0 && x.first > target.FirstToken.Std() {
+	if target.FirstToken > 0 && x.timeToFirst > target.FirstToken.Std() {
 		return false
 	}
-	return x.fluent()
+	return x.tokensInTime()
 }
 
-// attainedOn reports the same for the time since the request was sent to the
-// host that gave it whole: what the host itself is to be judged by.
-func (x *exchange) attainedOn(sent time.Time) bool {
-	first := x.r.started.Add(x.first).Sub(sent)
-	if target := x.r.target.FirstToken; target > 0 && first > target.Std() {
+// attainedByHost reports the same, measured from when the request was sent to
+// the host that completed it. This is what the host itself is rated by.
+func (x *exchange) attainedByHost(sent time.Time) bool {
+	timeToFirst := x.r.started.Add(x.timeToFirst).Sub(sent)
+	if target := x.r.target.FirstToken; target > 0 && timeToFirst > target.Std() {
 		return false
 	}
-	return x.fluent()
+	return x.tokensInTime()
 }
 
-// fluent reports whether the tokens followed each other in time.
-func (x *exchange) fluent() bool {
+// tokensInTime reports whether the time between tokens met its target.
+func (x *exchange) tokensInTime() bool {
 	target := x.r.target
-	if target.BetweenTokens > 0 && x.last > 1 {
-		return x.betweenTokens() <= target.BetweenTokens.Std()
+	if target.BetweenTokens > 0 && x.lastToken > 1 {
+		return x.meanTokenInterval() <= target.BetweenTokens.Std()
 	}
 	return true
 }
 
-// betweenTokens returns the mean time between two tokens of an answer of at least two.
-func (x *exchange) betweenTokens() time.Duration {
-	return x.lastAt.Sub(x.r.started.Add(x.first)) / time.Duration(x.last-1)
+// meanTokenInterval returns the mean time between the tokens of an answer that
+// has at least two.
+func (x *exchange) meanTokenInterval() time.Duration {
+	return x.lastTokenAt.Sub(x.r.started.Add(x.timeToFirst)) / time.Duration(x.lastToken-1)
 }
 
-// afterFailure decides what follows a failed attempt: nil means another one.
-func (x *exchange) afterFailure(ctx context.Context, host *route.Host, attempt int, err error) *Refusal {
+// handleFailure decides what follows a failed attempt. It returns nil when the
+// request is to be attempted again.
+func (x *exchange) handleFailure(ctx context.Context, host *route.Host, attempt int, err error) *Refusal {
 	s, r := x.server, x.r
 	if errors.Is(err, errClientGone) || ctx.Err() != nil {
-		return r.refuse(statusClientGone, ReasonBroken, x.notRun(err), "the client has gone")
+		return r.refuse(statusClientClosedRequest, ReasonAnswerBroken, x.notRun(err), "the client has gone")
 	}
-	s.judge(host, engineFault(err))
+	s.recordHostFailure(host, engineHostFailure(err))
 	var failure *engine.Failure
 	notRun := errors.As(err, &failure) && failure.NotRun
 	if !notRun {
-		x.reached = true
+		x.requestSent = true
 	}
 	if r.once && !notRun {
-		return r.refuse(consts.StatusBadGateway, ReasonOutcome, RunUnknown, "the call may not be repeated and its answer was lost")
+		return r.refuse(consts.StatusBadGateway, ReasonOutcomeUnknown, RunUnknown, "the call may not be repeated and its answer was lost")
 	}
 	if failure != nil && failure.Status >= 400 && failure.Status < 500 && !notRun {
 		return r.refuse(failure.Status, ReasonBadRequest, DidRun, failure.Error())
 	}
-	return s.again(ctx, r, retry{attempt: attempt, host: host, outcome: x.notRun(err), begun: x.last > 0, err: err})
+	return s.prepareRetry(ctx, r, failedAttempt{attempt: attempt, host: host, outcome: x.notRun(err), answerStarted: x.lastToken > 0, err: err})
 }
 
-// notRun says what is certain about the request after an error.
+// notRun returns what is known about the execution of the request after an error.
 func (x *exchange) notRun(err error) NotRun {
 	var failure *engine.Failure
 	switch {
-	case x.last > 0:
+	case x.lastToken > 0:
 		return DidRun
-	case !x.reached && errors.As(err, &failure) && failure.NotRun:
+	case !x.requestSent && errors.As(err, &failure) && failure.NotRun:
 		return DidNotRun
 	}
 	return RunUnknown
 }
 
-// blame is what a failed attempt says of its host.
-type blame struct {
+// hostFailure is what a failed attempt reveals about its host.
+type hostFailure struct {
 	leaving bool
 	busy    bool
-	// sound means that the host works and only the route to it was out of date.
-	sound  bool
-	reason string
+	// healthy means that the host works but the route to it was out of date.
+	healthy bool
+	reason  string
 }
 
-func engineFault(err error) blame {
-	f := blame{reason: err.Error()}
+func engineHostFailure(err error) hostFailure {
+	f := hostFailure{reason: err.Error()}
 	var failure *engine.Failure
 	if errors.As(err, &failure) {
 		f.leaving = failure.Leaving
 		f.busy = failure.Busy
-		f.sound = failure.Missing || (failure.NotRun && failure.Status != 0)
+		f.healthy = failure.Missing || (failure.NotRun && failure.Status != 0)
 	}
 	return f
 }
 
-// judge notes what a failed attempt says of its host.
-func (s *Server) judge(host *route.Host, f blame) {
+// recordHostFailure updates a host's routing state after a failed attempt.
+func (s *Server) recordHostFailure(host *route.Host, f hostFailure) {
 	switch {
 	case f.leaving:
 		host.SetLeaving()
 	case f.busy:
 		host.Busy()
-	case f.sound:
+	case f.healthy:
 	case host.Failed(s.now()):
 		s.ring.Add(event.Event{Kind: event.HostEjected, Host: host.Name(), Reason: f.reason})
 	}
 }
 
-// fail ends an exchange that was given up.
+// fail ends an exchange that is not attempted again.
 func (x *exchange) fail(refusal *Refusal) {
-	if !x.out.begun() {
+	if !x.out.started() {
 		x.server.refuse(x.out.c, refusal)
 		return
 	}
--- a/src/gateway/doc.go
+++ b/src/gateway/doc.go
@@ -1,11 +1,11 @@
-// Package gateway is the product's own gateway: it takes clients' requests, routes them,
-// queues and retries them, and relays answers whole.
+// Package gateway is the gateway process. It accepts client requests, selects a host for each,
+// queues and retries requests, and relays responses; a stream that breaks is resumed on another host.
 //
 //	client ──HTTP──▶ Server ─▶ admit (limit.Queues) ─▶ pick (route.Table) ─▶ relay
 //	                                                                       │
 //	                   engine.Streams / service.Client ◀── attempt ────────┤
 //	                             │ broken, refused as not run              │
-//	                             └──────── resume or retry elsewhere ──────┘
+//	                             └───── resume or retry on another host ───┘
 //	planners ──routes──▶ Routes ──▶ route.Table        Routes ──demand──▶ planners
 //	control nodes ──config──▶ follow.Follower                once claims ──▶ control nodes
 package gateway
--- a/src/gateway/fake_test.go
+++ b/src/gateway/fake_test.go
@@ -28,9 +28,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// bench is a gateway in this process before emulators, with a control node whose
-// answers the test gives.
-type bench struct {
+// testGateway is a gateway in the test process with emulated backend servers and
+// a fake control node.
+type testGateway struct {
 	t           testing.TB
 	server      *Server
 	address     string
@@ -41,7 +41,7 @@
 	controlNode *fakeControlNode
 }
 
-// fakeControlNode answers what a gateway asks of control nodes.
+// fakeControlNode answers a gateway's calls with what the test sets.
 type fakeControlNode struct {
 	update config.Update
 	claim  func(wire.ClaimRequest) wire.ClaimReply
@@ -76,7 +76,8 @@
 	return ln
 }
 
-// testSet is a configuration with one model, one adapter and one plain service.
+// testSet returns a configuration with one model, one adapter, a label for it and
+// one plain service.
 func testSet() *config.Set {
 	return config.NewSet(config.Revision{Term: 1, Index: 1}, []config.Object{
 		{Key: config.Key{Kind: config.KindModel, Name: "m"}, Model: &config.Model{Memory: 1, Version: "v1"}},
@@ -86,9 +87,9 @@
 	})
 }
 
-func newBench(t testing.TB) *bench {
+func newTestGateway(t testing.TB) *testGateway {
 	t.Helper()
-	b := &bench{t: t, controlNode: &fakeControlNode{update: testSet().Full()}}
+	b := &testGateway{t: t, controlNode: &fakeControlNode{update: testSet().Full()}}
 	b.controlNode.claim = func(wire.ClaimRequest) wire.ClaimReply {
 		return wire.ClaimReply{Outcome: wire.Accepted, State: wire.ClaimYours}
 	}
@@ -103,8 +104,8 @@
 		TokenWait: config.Duration(time.Second), HeaderWait: config.Duration(time.Second),
 	}}
 	ring := event.NewRing("e1", 256, nil, time.Now)
-	beat := func(config.Revision) wire.Heartbeat { return wire.Heartbeat{Node: "e1"} }
-	follower := follow.New([]option.Peer{{Name: "k1", Address: controlNode.Address(), Zone: "a"}}, "a", meter, nil, ring, beat)
+	heartbeat := func(config.Revision) wire.Heartbeat { return wire.Heartbeat{Node: "e1"} }
+	follower := follow.New([]option.Peer{{Name: "k1", Address: controlNode.Address(), Zone: "a"}}, "a", meter, nil, ring, heartbeat)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go follower.Run(ctx)
@@ -129,14 +130,14 @@
 	return b
 }
 
-// addEngine starts an emulator engine that holds the model and its adapter.
-func (b *bench) addEngine(name, zone string) *emulator.Engine {
+// addEngine starts an emulated engine that has the model and its adapter loaded.
+func (b *testGateway) addEngine(name, zone string) *emulator.Engine {
 	b.t.Helper()
 	return b.addPacedEngine(name, zone, 0)
 }
 
-// addPacedEngine starts one that takes its time between tokens.
-func (b *bench) addPacedEngine(name, zone string, gap time.Duration) *emulator.Engine {
+// addPacedEngine starts an engine that waits for gap between tokens.
+func (b *testGateway) addPacedEngine(name, zone string, gap time.Duration) *emulator.Engine {
 	b.t.Helper()
 	e := emulator.NewEngine(emulator.EngineOptions{Host: name, Capacity: []config.Bytes{10}, Slots: 64, Checks: true, Gap: gap, Warm: []engine.Copy{
 		{Weights: engine.Weights{Model: "m", Version: "v1"}, Bytes: 1},
@@ -151,8 +152,8 @@
 	return e
 }
 
-// addPlain starts an emulator plain service.
-func (b *bench) addPlain(name string) (*emulator.Plain, string) {
+// addPlain starts an emulated plain service.
+func (b *testGateway) addPlain(name string) (*emulator.Plain, string) {
 	b.t.Helper()
 	p := emulator.NewPlain(name, 0)
 	ln := listen(b.t)
@@ -161,13 +162,13 @@
 	return p, ln.Addr().String()
 }
 
-func (b *bench) addRoute(route wire.HostRoute) {
+func (b *testGateway) addRoute(route wire.HostRoute) {
 	b.routes = append(b.routes, route)
-	b.server.routes.take(wire.RoutesUpdate{Zone: "a", Epoch: 1, Seq: uint64(len(b.routes)), Full: true, Hosts: b.routes})
+	b.server.routes.apply(wire.RoutesUpdate{Zone: "a", Epoch: 1, Seq: uint64(len(b.routes)), Full: true, Hosts: b.routes})
 }
 
-// fakeHost answers every request with a handler of the test's.
-func (b *bench) fakeHost(name string, handle func(h *server.Hertz)) {
+// fakeHost starts a host whose handlers the test registers.
+func (b *testGateway) fakeHost(name string, handle func(h *server.Hertz)) {
 	b.t.Helper()
 	ln := listen(b.t)
 	h := process.NewServer(ln, 1<<20)
@@ -178,7 +179,7 @@
 		Models: []wire.ModelRoute{{Model: "m", Version: "v1"}}})
 }
 
-type completionOut struct {
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
@@ -186,25 +187,26 @@
 }
 
 func body(model, prompt string, tokens int) []byte {
-	data, _ := json.Marshal(completionOut{Model: model, Prompt: prompt, MaxTokens: tokens, Stream: true})
+	data, _ := json.Marshal(completionRequest{Model: model, Prompt: prompt, MaxTokens: tokens, Stream: true})
 	return data
 }
 
-// counting counts a handler's calls.
-func counting(count *atomic.Int64, handle app.HandlerFunc) app.HandlerFunc {
+// countCalls wraps a handler and counts its calls.
+func countCalls(count *atomic.Int64, handle app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		count.Add(1)
 		handle(ctx, c)
 	}
 }
 
-func (b *bench) hostRoute(name, address string) wire.HostRoute {
+func (b *testGateway) hostRoute(name, address string) wire.HostRoute {
 	return wire.HostRoute{Host: name, Pool: "p", Zone: "a", Address: address, State: wire.HostLive, Slots: 4096,
 		Models: []wire.ModelRoute{{Model: "m", Version: "v1", Adapters: []string{"m-a"}}}}
 }
 
-// stream writes so many tokens, with or without the end mark.
-func stream(c *app.RequestContext, tokens int, whole bool) {
+// writeStream writes up to tokens tokens of a six-token answer, from the one after
+// X-Resume-From. If complete is false, it closes the connection without an end mark.
+func writeStream(c *app.RequestContext, tokens int, complete bool) {
 	from, err := strconv.Atoi(string(c.GetHeader(engine.HeaderResumeFrom)))
 	if err != nil {
 		from = 0
@@ -213,7 +215,7 @@
 	for n := from + 1; n <= min(from+tokens, 6); n++ {
 		_ = w.WriteEvent(strconv.Itoa(n), "", []byte(`{"choices":[{"text":"w "}]}`))
 	}
-	if !whole {
+	if !complete {
 		_ = c.GetConn().Close()
 		return
 	}
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -27,8 +27,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// ask sends a streamed completion and returns the text that came, and how it ended.
-func (b *bench) ask(id, model, prompt string, tokens int) (string, error) {
+// ask sends a streaming completion request and returns the text received and
+// the error that ended the stream.
+func (b *testGateway) ask(id, model, prompt string, tokens int) (string, error) {
 	stream, err := b.streams.Open(context.Background(), b.address, engine.Request{Path: engine.PathCompletions, Body: body(model, prompt, tokens), ID: id})
 	if err != nil {
 		return "", err
@@ -36,8 +37,8 @@
 	return collect(stream)
 }
 
-// askOnce sends a completion that may be marked as not to be repeated.
-func (b *bench) askOnce(id string, once bool) (string, error) {
+// askOnce sends a completion request that must not be repeated if once is set.
+func (b *testGateway) askOnce(id string, once bool) (string, error) {
 	stream, err := b.streams.Open(context.Background(), b.address, engine.Request{Path: engine.PathCompletions, Body: body("m", "p", 6), ID: id, Once: once})
 	if err != nil {
 		return "", err
@@ -67,8 +68,8 @@
 	}
 }
 
-func TestAnswerIsWholeAndOnesOwn(t *testing.T) {
-	b := newBench(t)
+func TestConcurrentAnswersAreCompleteAndNotMixed(t *testing.T) {
+	b := newTestGateway(t)
 	b.addEngine("h1", "a")
 	b.addEngine("h2", "a")
 	is := is.New(t)
@@ -86,8 +87,8 @@
 	wait.Wait()
 }
 
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
-	b := newBench(t)
+func TestBrokenStreamResumesOnAnotherHost(t *testing.T) {
+	b := newTestGateway(t)
 	first, second := b.addEngine("h1", "a"), b.addEngine("h2", "a")
 	first.SetFaults(emulator.Faults{BreakAfter: 3})
 	second.SetFaults(emulator.Faults{BreakAfter: 3})
@@ -100,9 +101,9 @@
 	is.Equal(b.server.Status().Resumed, uint64(1))
 }
 
-func TestHostThatSaysItLeavesGetsNothingMore(t *testing.T) {
-	// Its own word counts at once, with no planner in reach to pass it on.
-	b := newBench(t)
+func TestLeavingHostGetsNoFurtherRequests(t *testing.T) {
+	// The host's own report takes effect at once, without a planner.
+	b := newTestGateway(t)
 	leaving, staying := b.addEngine("h1", "a"), b.addEngine("h2", "a")
 	leaving.SetFaults(emulator.Faults{Leaving: true})
 	is := is.New(t)
@@ -117,8 +118,8 @@
 	is.True(ran <= 1)
 }
 
-func TestGoneClientFreesItsPlace(t *testing.T) {
-	b := newBench(t)
+func TestClientDisconnectFreesTheSlot(t *testing.T) {
+	b := newTestGateway(t)
 	e := b.addEngine("h1", "a")
 	stream, err := b.streams.Open(context.Background(), b.address, engine.Request{Path: engine.PathCompletions, Body: body("m", "p", 1_000_000), ID: "r"})
 	is := is.New(t)
@@ -136,11 +137,11 @@
 	t.Errorf("in flight %d, running on the engine %d", b.server.InFlight(), e.Running())
 }
 
-// TestPlannedStopCutsOffNoRequest stops the gateway while a stream runs and
-// another begins within the balancer's lag: both must come whole.
-func TestPlannedStopCutsOffNoRequest(t *testing.T) {
-	b := newBench(t)
-	// The stream outlasts the lag and the closing of the listener by far.
+// TestPlannedStopCompletesAllRequests stops the gateway while a stream runs and
+// another starts before the load balancer has noticed: both must be complete.
+func TestPlannedStopCompletesAllRequests(t *testing.T) {
+	b := newTestGateway(t)
+	// The stream lasts much longer than the lag and the closing of the listener.
 	b.addPacedEngine("h1", "a", 5*time.Millisecond)
 	b.server.settings.BalancerLag = config.Duration(100 * time.Millisecond)
 	b.server.settings.DrainLimit = config.Duration(20 * time.Second)
@@ -172,8 +173,8 @@
 	is.True(err != nil) // nothing is taken any more
 }
 
-func TestNothingInReachIsRefusedAtOnceAsNotRun(t *testing.T) {
-	b := newBench(t)
+func TestRequestWithoutHostIsRefusedAsNotRun(t *testing.T) {
+	b := newTestGateway(t)
 	is := is.New(t)
 	_, err := b.ask("r", "m", "p", 3)
 	var failure *engine.Failure
@@ -182,8 +183,8 @@
 	is.True(strings.Contains(err.Error(), string(ReasonNoCopy)))
 }
 
-func TestWrongInputIsRefusedWithItsReason(t *testing.T) {
-	b := newBench(t)
+func TestInvalidInputIsRefusedWithItsReason(t *testing.T) {
+	b := newTestGateway(t)
 	for _, c := range []struct{ body, reason string }{
 		{`{`, "not the JSON"},
 		{`[]`, "not the JSON"},
@@ -199,12 +200,12 @@
 	}
 }
 
-func TestNotRunIsNotClaimedAfterAnAttemptThatMayHaveRun(t *testing.T) {
-	b := newBench(t)
+func TestRefusalAfterPossibleRunIsNotMarkedNotRun(t *testing.T) {
+	b := newTestGateway(t)
 	b.fakeHost("h1", func(h *server.Hertz) {
 		h.POST(engine.PathCompletions, func(_ context.Context, c *app.RequestContext) {
-			// The only route goes while the request runs, and then its answer is lost.
-			b.server.routes.take(wire.RoutesUpdate{Zone: "a", Epoch: 1, Seq: 9, Full: true})
+			// Removes the only route while the request runs, then fails the request.
+			b.server.routes.apply(wire.RoutesUpdate{Zone: "a", Epoch: 1, Seq: 9, Full: true})
 			c.String(500, "broken")
 		})
 	})
@@ -216,16 +217,16 @@
 	is.True(strings.Contains(err.Error(), `"not_run":"unknown"`))
 }
 
-func (b *bench) register(key string) (service.Answer, error) {
+func (b *testGateway) register(key string) (service.Answer, error) {
 	return b.plain.Do(context.Background(), b.address, service.Call{Method: "POST", Path: "/services/desk/register", Body: []byte("form"), ID: "r-" + key, Key: key, Once: true})
 }
 
-func TestOnceCallIsNotRunAgainAfterItsAnswerWasLost(t *testing.T) {
-	b := newBench(t)
+func TestOnceCallIsNotRetriedAfterLostAnswer(t *testing.T) {
+	b := newTestGateway(t)
 	var calls atomic.Int64
 	for _, name := range []string{"h1", "h2"} {
 		b.fakeHost(name, func(h *server.Hertz) {
-			h.POST("/register", counting(&calls, func(_ context.Context, c *app.RequestContext) { _ = c.GetConn().Close() }))
+			h.POST("/register", countCalls(&calls, func(_ context.Context, c *app.RequestContext) { _ = c.GetConn().Close() }))
 		})
 	}
 	settled := make(chan wire.SettleRequest, 1)
@@ -233,14 +234,14 @@
 	answer, err := b.register("k")
 	is := is.New(t)
 	is.NoErr(err)
-	is.True(strings.Contains(string(answer.Body), string(ReasonOutcome)))
+	is.True(strings.Contains(string(answer.Body), string(ReasonOutcomeUnknown)))
 	is.True(strings.Contains(string(answer.Body), `"not_run":"unknown"`))
 	is.Equal(calls.Load(), int64(1))
 	is.Equal((<-settled).State, wire.ClaimLost) // the key stays taken
 }
 
-func TestOnceCallGoesElsewhereWhenNoByteWasSent(t *testing.T) {
-	b := newBench(t)
+func TestOnceCallIsRetriedWhenNothingWasSent(t *testing.T) {
+	b := newTestGateway(t)
 	closed := listen(t)
 	b.addRoute(wire.HostRoute{Host: "dead", Pool: "desk", Zone: "a", Address: closed.Addr().String(), State: wire.HostLive, Slots: 16})
 	_ = closed.Close()
@@ -254,10 +255,10 @@
 }
 
 func TestClaimedKeyIsNotRun(t *testing.T) {
-	b := newBench(t)
+	b := newTestGateway(t)
 	var calls atomic.Int64
 	b.fakeHost("h1", func(h *server.Hertz) {
-		h.POST("/register", counting(&calls, func(_ context.Context, c *app.RequestContext) { c.String(200, "ok") }))
+		h.POST("/register", countCalls(&calls, func(_ context.Context, c *app.RequestContext) { c.String(200, "ok") }))
 	})
 	for _, state := range []wire.ClaimState{wire.ClaimRunning, wire.ClaimDone, wire.ClaimLost} {
 		b.controlNode.claim = func(wire.ClaimRequest) wire.ClaimReply {
@@ -274,29 +275,30 @@
 	}
 }
 
-// behaviour is what a scripted host does with one request.
+// behaviour is how a scripted host handles one request.
 type behaviour int
 
 const (
 	answers behaviour = iota
 	refusesNotRun
 	fails
-	closesFirst
-	breaks
-	missing
-	behaviours
+	closesConnection
+	breaksStream
+	lacksModel
+	behaviourCount
 )
 
-var behaviourGen = rapid.Map(rapid.IntRange(0, int(behaviours)-1), func(n int) behaviour { return behaviour(n) })
+var behaviourGen = rapid.Map(rapid.IntRange(0, int(behaviourCount)-1), func(n int) behaviour { return behaviour(n) })
 
-// scripted is a backend server that follows a script and counts runs.
-type scripted struct {
+// scriptedHost is a backend server that handles requests by a script and counts
+// how often each one ran.
+type scriptedHost struct {
 	mu     sync.Mutex
 	script []behaviour
 	runs   map[string]int
 }
 
-func (s *scripted) next() behaviour {
+func (s *scriptedHost) next() behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.script) == 0 {
@@ -307,45 +309,45 @@
 	return first
 }
 
-func (s *scripted) ran(id string) {
+func (s *scriptedHost) ran(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
 }
 
-func (s *scripted) handle(_ context.Context, c *app.RequestContext) {
+func (s *scriptedHost) handle(_ context.Context, c *app.RequestContext) {
 	id := string(c.GetHeader(engine.HeaderRequestID))
 	switch s.next() {
 	case refusesNotRun:
 		c.Response.Header.Set(engine.HeaderNotRun, "true")
 		c.String(503, "busy")
-	case missing:
+	case lacksModel:
 		c.Response.Header.Set(engine.HeaderNotRun, "true")
 		c.String(404, "no such model")
-	case closesFirst:
+	case closesConnection:
 		_ = c.GetConn().Close()
 	case fails:
 		s.ran(id)
 		c.String(500, "broken")
-	case breaks:
+	case breaksStream:
 		s.ran(id)
-		stream(c, 2, false)
+		writeStream(c, 2, false)
 	case answers:
 		s.ran(id)
-		stream(c, 6, true)
+		writeStream(c, 6, true)
 	}
 }
 
 func init() { testseed.Fix() }
 
-// TestRequestPromises lets hosts do anything in any order and checks what a
-// client may rely on: not run means not run, a once request runs at most once,
-// a whole answer is the right one.
+// TestRequestPromises has hosts behave in any order of success and failure and
+// checks the guarantees to clients: a request that is refused as not run did not
+// run, a once request runs at most once, and a complete answer is correct.
 func TestRequestPromises(t *testing.T) {
-	b := newBench(t)
-	hosts := []*scripted{}
+	b := newTestGateway(t)
+	hosts := []*scriptedHost{}
 	for _, name := range []string{"h1", "h2"} {
-		host := &scripted{runs: map[string]int{}}
+		host := &scriptedHost{runs: map[string]int{}}
 		hosts = append(hosts, host)
 		b.fakeHost(name, func(h *server.Hertz) { h.POST(engine.PathCompletions, host.handle) })
 	}
--- a/src/gateway/main.go
+++ b/src/gateway/main.go
@@ -16,12 +16,13 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of start and stop.
+// Timing of startup and shutdown.
 const (
-	routesWait = 3 * time.Second
-	pollEvery  = 20 * time.Millisecond
-	closeWait  = time.Second
-	// idlePolls is how many polls in a row must see nothing in flight.
+	routesTimeout        = 3 * time.Second
+	pollInterval         = 20 * time.Millisecond
+	listenerCloseTimeout = time.Second
+	// idlePolls is the number of consecutive polls without a request in flight
+	// after which the drain ends.
 	idlePolls = 10
 )
 
@@ -33,7 +34,7 @@
 	}})
 }
 
-// run is a gateway's life from its settings to its stop.
+// run starts a gateway, serves until a signal, and shuts it down.
 func run(settings option.Gateway) error {
 	ctx, cancel := process.UntilSignal()
 	defer cancel()
@@ -45,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	s, err = assemble(settings, proc)
+	s, err = newServer(settings, proc)
 	if err != nil {
 		return err
 	}
@@ -66,7 +67,7 @@
 	return nil
 }
 
-func assemble(settings option.Gateway, proc *process.Process) (*Server, error) {
+func newServer(settings option.Gateway, proc *process.Process) (*Server, error) {
 	streams, err := engine.NewStreams(proc.Cut(), settings.Limits.TokenWait.Std())
 	if err != nil {
 		return nil, err
@@ -95,7 +96,8 @@
 	}), nil
 }
 
-// start gets configuration and routes, then takes requests.
+// start fetches configuration and routes, then opens the listener for clients.
+// If they do not arrive in time, it opens the listener without them.
 func (s *Server) start(ctx, background context.Context, proc *process.Process) error {
 	go s.follower.Run(background)
 	if !s.follower.Await(ctx, s.settings.ConfigWait.Std()) {
@@ -110,31 +112,33 @@
 	return nil
 }
 
-// awaitRoutes waits until every zone's planner, or peers, have given routes.
+// awaitRoutes waits, up to routesTimeout, until the routes of every zone are
+// known. After half of that time it asks other gateways for them as well.
 func (s *Server) awaitRoutes(ctx context.Context) {
-	until := s.now().Add(routesWait)
+	until := s.now().Add(routesTimeout)
 	asked := false
 	for s.now().Before(until) && ctx.Err() == nil {
 		zones := len(s.follower.Set().OfKind(config.KindAuthority))
-		if zones > 0 && s.routes.Zones() >= zones {
+		if zones > 0 && s.routes.KnownZones() >= zones {
 			return
 		}
-		if !asked && until.Sub(s.now()) < routesWait/2 {
+		if !asked && until.Sub(s.now()) < routesTimeout/2 {
 			asked = true
-			s.routes.AskPeers(ctx)
+			s.routes.FetchFromPeers(ctx)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// stop is a planned stop: unready, wait out the balancer's lag while serving as
-// before, then take no new connections and finish what is in flight. What still
-// comes on a connection that was open is served, and the connection then closed.
+// stop shuts the gateway down gracefully. It reports itself unready, keeps
+// serving for as long as the load balancer takes to notice, then closes the
+// listener and waits for the requests in flight. Requests on connections that
+// are still open are served, and their connections closed.
 func (s *Server) stop(proc *process.Process) {
 	proc.SetLeaving()
 	s.leaving.Store(true)
 	time.Sleep(s.settings.BalancerLag.Std())
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), listenerCloseTimeout)
 	defer cancel()
 	s.CloseListener(ctx)
 	until := s.now().Add(s.settings.DrainLimit.Std())
@@ -142,6 +146,6 @@
 		if s.InFlight() > 0 {
 			idle = 0
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/src/gateway/plain.go
+++ b/src/gateway/plain.go
@@ -15,7 +15,7 @@
 	"github.com/moorspool/moorspool/src/trace"
 )
 
-// plainCall serves one call to a plain service.
+// plainCall serves a call to a plain service.
 func (s *Server) plainCall(ctx context.Context, c *app.RequestContext) {
 	r, refusal := readHeaders(c, s.now())
 	if refusal == nil {
@@ -28,7 +28,7 @@
 	}
 	span := s.tracer.Start(trace.Extract(ctx, r.trace), "client request", r.id, r.want.Pool, "")
 	defer span.End(nil)
-	claim, refusal := s.claimFor(ctx, r)
+	claim, refusal := s.claimKey(ctx, r)
 	if refusal != nil {
 		s.refuse(c, refusal)
 		return
@@ -45,16 +45,17 @@
 	c.Response.SetBody(answer.Body)
 }
 
-// readCall resolves the service and whether the call may be repeated.
+// readCall resolves the service of a call and determines whether the call may
+// be repeated.
 func (s *Server) readCall(r *request, c *app.RequestContext) *Refusal {
 	name := c.Param("name")
-	known := s.follower.Set().Service(name)
-	if known == nil {
+	definition := s.follower.Set().Service(name)
+	if definition == nil {
 		return r.refuse(consts.StatusNotFound, ReasonUnknownModel, DidNotRun, "there is no service "+name)
 	}
 	r.want = route.Want{Pool: name}
 	r.path = "/" + strings.TrimPrefix(c.Param("path"), "/")
-	r.once = r.once || marked(known, string(c.Method()), r.path)
+	r.once = r.once || isOnceCall(definition, string(c.Method()), r.path)
 	if query := string(c.URI().QueryString()); query != "" {
 		r.path += "?" + query
 	}
@@ -62,9 +63,9 @@
 	return nil
 }
 
-// marked reports whether the configuration forbids to repeat a call.
-func marked(known *config.Service, method, path string) bool {
-	for _, call := range known.Calls {
+// isOnceCall reports whether the configuration forbids repeating a call.
+func isOnceCall(definition *config.Service, method, path string) bool {
+	for _, call := range definition.Calls {
 		if call.Once && call.Method == method && strings.HasPrefix(path, call.Path) {
 			return true
 		}
@@ -72,13 +73,13 @@
 	return false
 }
 
-// plainExchange is one call with its attempts.
+// plainExchange is one call to a plain service, over all its attempts.
 type plainExchange struct {
 	server      *Server
 	r           *request
 	method      string
 	contentType string
-	reached     bool
+	requestSent bool
 }
 
 func (x *plainExchange) run(ctx context.Context) (service.Answer, *Refusal) {
@@ -86,7 +87,7 @@
 	for attempt := 1; ; attempt++ {
 		host, refusal := s.admit(ctx, x.r)
 		if refusal != nil {
-			if x.reached {
+			if x.requestSent {
 				refusal.NotRun = RunUnknown
 			}
 			return service.Answer{}, refusal
@@ -98,7 +99,7 @@
 			s.ring.Add(event.Event{Kind: event.RequestFinished, Request: x.r.id, Model: x.r.want.Pool, Host: host.Name()})
 			return answer, nil
 		}
-		if refusal := x.afterFailure(ctx, host, attempt, err); refusal != nil {
+		if refusal := x.handleFailure(ctx, host, attempt, err); refusal != nil {
 			return service.Answer{}, refusal
 		}
 	}
@@ -106,7 +107,7 @@
 
 func (x *plainExchange) attempt(ctx context.Context, host *route.Host) (service.Answer, error) {
 	s, r := x.server, x.r
-	began := s.now()
+	start := s.now()
 	span := s.tracer.Start(ctx, "backend attempt", r.id, r.want.Pool, host.Name())
 	host.Begin()
 	r.tried.Add(host)
@@ -116,42 +117,43 @@
 	if err != nil {
 		host.Fail()
 	} else {
-		host.End(s.now().Sub(began), true)
+		host.End(s.now().Sub(start), true)
 	}
 	if err == nil {
-		s.heard(host, answer.Load)
+		s.applyLoad(host, answer.Load)
 	}
 	s.queues.Release(r.queueName())
 	span.End(err)
 	return answer, err
 }
 
-// afterFailure decides what follows a failed attempt: nil means another one.
-func (x *plainExchange) afterFailure(ctx context.Context, host *route.Host, attempt int, err error) *Refusal {
+// handleFailure decides what follows a failed attempt. It returns nil when the
+// call is to be attempted again.
+func (x *plainExchange) handleFailure(ctx context.Context, host *route.Host, attempt int, err error) *Refusal {
 	s, r := x.server, x.r
 	var failure *service.Failure
 	notRun := errors.As(err, &failure) && failure.NotRun
-	x.reached = x.reached || !notRun
-	s.judge(host, serviceFault(err))
+	x.requestSent = x.requestSent || !notRun
+	s.recordHostFailure(host, serviceHostFailure(err))
 	outcome := RunUnknown
-	if !x.reached {
+	if !x.requestSent {
 		outcome = DidNotRun
 	}
 	switch {
 	case ctx.Err() != nil:
-		return r.refuse(statusClientGone, ReasonBroken, outcome, "the client has gone")
+		return r.refuse(statusClientClosedRequest, ReasonAnswerBroken, outcome, "the client has gone")
 	case r.once && !notRun:
-		return r.refuse(consts.StatusBadGateway, ReasonOutcome, RunUnknown, "the call may not be repeated and its answer was lost")
+		return r.refuse(consts.StatusBadGateway, ReasonOutcomeUnknown, RunUnknown, "the call may not be repeated and its answer was lost")
 	}
-	return s.again(ctx, r, retry{attempt: attempt, host: host, outcome: outcome, err: err})
+	return s.prepareRetry(ctx, r, failedAttempt{attempt: attempt, host: host, outcome: outcome, err: err})
 }
 
-func serviceFault(err error) blame {
-	f := blame{reason: err.Error()}
+func serviceHostFailure(err error) hostFailure {
+	f := hostFailure{reason: err.Error()}
 	var failure *service.Failure
 	if errors.As(err, &failure) {
 		f.leaving = failure.Leaving
-		f.sound = failure.NotRun && failure.Status != 0
+		f.healthy = failure.NotRun && failure.Status != 0
 	}
 	return f
 }
--- a/src/gateway/refusal.go
+++ b/src/gateway/refusal.go
@@ -10,28 +10,28 @@
 	"github.com/cloudwego/hertz/pkg/protocol/consts"
 )
 
-// Reason says in one word why a request was refused.
+// Reason is the machine-readable reason of a refusal.
 type Reason string
 
-// The reasons.
+// The reasons of refusals.
 const (
-	ReasonBadRequest    Reason = "bad-request"
-	ReasonUnknownModel  Reason = "unknown-model"
-	ReasonNoCopy        Reason = "no-ready-copy"
-	ReasonQueueFull     Reason = "queue-full"
-	ReasonTooLate       Reason = "deadline-cannot-be-met"
-	ReasonOvertaken     Reason = "overtaken-by-higher-priority"
-	ReasonExhausted     Reason = "attempts-exhausted"
-	ReasonBroken        Reason = "answer-broken"
-	ReasonClaimed       Reason = "claimed-before"
-	ReasonNoControlNode Reason = "no-control-node-in-reach"
-	ReasonOutcome       Reason = "outcome-unknown"
+	ReasonBadRequest        Reason = "bad-request"
+	ReasonUnknownModel      Reason = "unknown-model"
+	ReasonNoCopy            Reason = "no-ready-copy"
+	ReasonQueueFull         Reason = "queue-full"
+	ReasonDeadline          Reason = "deadline-cannot-be-met"
+	ReasonOvertaken         Reason = "overtaken-by-higher-priority"
+	ReasonAttemptsExhausted Reason = "attempts-exhausted"
+	ReasonAnswerBroken      Reason = "answer-broken"
+	ReasonClaimed           Reason = "claimed-before"
+	ReasonNoControlNode     Reason = "no-control-node-in-reach"
+	ReasonOutcomeUnknown    Reason = "outcome-unknown"
 )
 
-// NotRun says whether a refused request ran.
+// NotRun says whether a refused request is known not to have run on a backend server.
 type NotRun string
 
-// The three answers; DidNotRun is given only where it is certain.
+// The values of NotRun. DidNotRun is used only when it is certain.
 const (
 	DidNotRun  NotRun = "true"
 	DidRun     NotRun = "false"
@@ -46,20 +46,21 @@
 	return []byte(n), nil
 }
 
-// Refusal is the answer to a request that was given up.
+// Refusal is the error response to a request that the gateway did not complete.
 type Refusal struct {
 	Reason  Reason `json:"type"`
 	Message string `json:"message"`
 	NotRun  NotRun `json:"not_run"`
 	Request string `json:"request"`
-	// RetryAfter is when asking again may help; it is in the header too.
+	// RetryAfter is the delay after which a retry may succeed. It is sent in the
+	// Retry-After header.
 	RetryAfter time.Duration `json:"-"`
-	// State tells what is known of a once key that was claimed before.
+	// State is the state of an idempotency key that was claimed before.
 	State  string `json:"state,omitempty"`
 	status int
 }
 
-// refusalBody is the form that clients of the usual interface expect.
+// refusalBody is the error body of the OpenAI-compatible interface.
 type refusalBody struct {
 	Error *Refusal `json:"error"`
 }
@@ -71,13 +72,13 @@
 	return &Refusal{Reason: reason, Message: message, NotRun: notRun, status: status}
 }
 
-// retryAfter says when asking again may help.
+// retryAfter sets the delay after which a retry may succeed.
 func (r *Refusal) retryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// headerRetryAfter tells a client when to come back, in whole seconds.
+// headerRetryAfter holds the delay before a retry in whole seconds.
 const headerRetryAfter = "Retry-After"
 
 // headerNotRun repeats not_run for callers that read no body.
@@ -92,18 +93,19 @@
 	c.JSON(r.finalStatus(), refusalBody{Error: r})
 }
 
-// finalStatus is the status that goes with what became of the request. Those that
-// promise that it did not run are given only where that is certain.
+// finalStatus returns the HTTP status of the response. A status from which
+// clients conclude that the request did not run is replaced by 502 unless that
+// is certain.
 func (r *Refusal) finalStatus() int {
-	if r.NotRun != DidNotRun && promisesNotRun(r.status) {
+	if r.NotRun != DidNotRun && impliesNotRun(r.status) {
 		return consts.StatusBadGateway
 	}
 	return r.status
 }
 
-// promisesNotRun reports whether clients may take a status as the promise that
-// the request has not run and never will.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether a status tells clients that the request has not
+// run and will not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case consts.StatusServiceUnavailable, consts.StatusTooManyRequests, consts.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/src/gateway/relay_bench_test.go
+++ b/src/gateway/relay_bench_test.go
@@ -19,8 +19,9 @@
 	"github.com/moorspool/moorspool/src/process"
 )
 
-// fastEngine streams so many tokens at once, so that the relay is what is measured.
-func fastEngine(b *bench, tokens int) string {
+// fastEngine starts an engine that streams its tokens without delay, so that the
+// benchmark measures the relay.
+func fastEngine(b *testGateway, tokens int) string {
 	ln := listen(b.t)
 	h := process.NewServer(ln, 1<<20)
 	data := []byte(`{"object":"text_completion","model":"m","choices":[{"index":0,"text":"token "}]}`)
@@ -38,9 +39,9 @@
 	return ln.Addr().String()
 }
 
-// bareRelay is the baseline: one hop with the same libraries that passes events
-// on and decides nothing.
-func bareRelay(b *bench, target string) string {
+// bareRelay starts the baseline: a relay with the same libraries that only
+// forwards events.
+func bareRelay(b *testGateway, target string) string {
 	ln := listen(b.t)
 	h := process.NewServer(ln, 1<<20)
 	client, err := dial.New(nil, dial.Options{Dial: time.Second, Read: time.Second, Write: time.Second, Conns: 4096, Reuse: true, Stream: true})
@@ -76,9 +77,10 @@
 	return ln.Addr().String()
 }
 
-// drive sends n requests from so many clients and returns the time each took.
-func drive(b *bench, address string, n, clients int, pace time.Duration) []time.Duration {
-	took := make([]time.Duration, n)
+// sendRequests sends n requests from a number of concurrent clients, one per
+// interval at most, and returns the duration of each.
+func sendRequests(b *testGateway, address string, n, clients int, interval time.Duration) []time.Duration {
+	durations := make([]time.Duration, n)
 	next := make(chan int)
 	var wait sync.WaitGroup
 	for i := 0; i < clients; i++ {
@@ -88,23 +90,23 @@
 			for at := range next {
 				began := time.Now()
 				readAll(b, address)
-				took[at] = time.Since(began)
+				durations[at] = time.Since(began)
 			}
 		}()
 	}
 	began := time.Now()
 	for i := 0; i < n; i++ {
-		if wait := pace*time.Duration(i) - time.Since(began); wait > 0 {
+		if wait := interval*time.Duration(i) - time.Since(began); wait > 0 {
 			time.Sleep(wait)
 		}
 		next <- i
 	}
 	close(next)
 	wait.Wait()
-	return took
+	return durations
 }
 
-func readAll(b *bench, address string) {
+func readAll(b *testGateway, address string) {
 	stream, err := b.streams.Open(context.Background(), address, engine.Request{Path: engine.PathCompletions, Body: body("m", "p", 16), ID: "r"})
 	if err != nil {
 		b.t.Error(err)
@@ -121,9 +123,9 @@
 	}
 }
 
-func p99(took []time.Duration) time.Duration {
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	return took[len(took)*99/100]
+func p99(durations []time.Duration) time.Duration {
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	return durations[len(durations)*99/100]
 }
 
 func median(all []time.Duration) time.Duration {
@@ -131,39 +133,39 @@
 	return all[len(all)/2]
 }
 
-// BenchmarkRelay compares a gateway with a bare hertz relay in one run:
-// throughput with 64 clients, and at 3,200 requests a second how much later the
-// 99th percentile is than without a relay and than with the bare one, each as the
-// median of five rounds in turn.
+// BenchmarkRelay compares a gateway with a bare hertz relay. It reports the
+// throughput with 64 clients, and at 3,200 requests a second the increase of the
+// 99th percentile over direct requests and over the bare relay, each as the
+// median of five interleaved rounds.
 func BenchmarkRelay(b *testing.B) {
 	const clients, tokens, rounds, perRound = 64, 16, 5, 3000
-	bed := newBench(b)
-	target := fastEngine(bed, tokens)
-	route := bed.hostRoute("fast", target)
-	bed.addRoute(route)
-	bare := bareRelay(bed, target)
-	drive(bed, bed.address, 500, clients, 0)
-	drive(bed, bare, 500, clients, 0)
-	var own, base time.Duration
+	gateway := newTestGateway(b)
+	target := fastEngine(gateway, tokens)
+	route := gateway.hostRoute("fast", target)
+	gateway.addRoute(route)
+	bare := bareRelay(gateway, target)
+	sendRequests(gateway, gateway.address, 500, clients, 0)
+	sendRequests(gateway, bare, 500, clients, 0)
+	var gatewayTime, bareTime time.Duration
 	for i := 0; i < rounds; i++ {
 		began := time.Now()
-		drive(bed, bed.address, perRound, clients, 0)
-		own += time.Since(began)
+		sendRequests(gateway, gateway.address, perRound, clients, 0)
+		gatewayTime += time.Since(began)
 		began = time.Now()
-		drive(bed, bare, perRound, clients, 0)
-		base += time.Since(began)
+		sendRequests(gateway, bare, perRound, clients, 0)
+		bareTime += time.Since(began)
 	}
-	pace := time.Second / 3200
+	interval := time.Second / 3200
 	var overDirect, overBare []time.Duration
 	for i := 0; i < rounds; i++ {
-		ownTail := p99(drive(bed, bed.address, perRound, clients, pace))
-		bareTail := p99(drive(bed, bare, perRound, clients, pace))
-		directTail := p99(drive(bed, target, perRound, clients, pace))
+		ownTail := p99(sendRequests(gateway, gateway.address, perRound, clients, interval))
+		bareTail := p99(sendRequests(gateway, bare, perRound, clients, interval))
+		directTail := p99(sendRequests(gateway, target, perRound, clients, interval))
 		overDirect = append(overDirect, ownTail-directTail)
 		overBare = append(overBare, ownTail-bareTail)
 	}
-	b.ReportMetric(float64(base)/float64(own), "throughput-ratio")
-	b.ReportMetric(float64(rounds*perRound)/own.Seconds(), "requests/s")
+	b.ReportMetric(float64(bareTime)/float64(gatewayTime), "throughput-ratio")
+	b.ReportMetric(float64(rounds*perRound)/gatewayTime.Seconds(), "requests/s")
 	b.ReportMetric(float64(median(overDirect))/float64(time.Millisecond), "p99-over-direct-ms")
 	b.ReportMetric(float64(median(overBare))/float64(time.Millisecond), "p99-over-bare-ms")
 	b.ReportMetric(0, "ns/op")
--- a/src/gateway/request.go
+++ b/src/gateway/request.go
@@ -17,98 +17,100 @@
 	"github.com/moorspool/moorspool/src/trace"
 )
 
-// The clients' headers.
+// The request headers of clients.
 const (
 	headerRequestID = engine.HeaderRequestID
 	headerPriority  = engine.HeaderPriority
 	headerDeadline  = engine.HeaderDeadline
 	headerKey       = service.HeaderKey
-	// headerOnce marks a call that may not be repeated.
+	// headerOnce marks a call that must not be repeated.
 	headerOnce = engine.HeaderOnce
 )
 
-// The limits of what clients may ask for.
+// Limits of client requests.
 const (
 	maxPriority  = 9
 	maxDeadline  = time.Hour
 	maxHeaderLen = 256
-	// prefixBytes is how much of a prompt decides which cache it may hit.
-	prefixBytes = 512
+	// prefixHashBytes is the length of the prompt prefix by which requests are
+	// routed to hosts that may have it in their KV cache.
+	prefixHashBytes = 512
 )
 
-// request is a client's request as the gateway understood it.
+// request is a parsed client request.
 type request struct {
-	id       string
-	started  time.Time
-	priority int
-	deadline time.Time
-	once     bool
-	key      string
-	trace    string
-	want     route.Want
-	path     string
-	body     []byte
-	stream   bool
-	named    string
-	prefix   uint64
-	target   config.Target
-	tried    route.Tried
-	retries  int
-	// begun is set once the client has a part of the answer.
-	begun bool
+	id             string
+	started        time.Time
+	priority       int
+	deadline       time.Time
+	once           bool
+	key            string
+	trace          string
+	want           route.Want
+	path           string
+	body           []byte
+	stream         bool
+	requestedModel string
+	prefix         uint64
+	target         config.Target
+	tried          route.Tried
+	retries        int
+	// answerStarted is set once part of the answer was sent to the client.
+	answerStarted bool
 }
 
-// readHeaders reads the headers that all requests may have.
+// readHeaders parses the headers that are common to all requests. It returns a
+// request with an id even when it returns a refusal.
 func readHeaders(c *app.RequestContext, now time.Time) (*request, *Refusal) {
 	r := &request{started: now, id: string(c.GetHeader(headerRequestID)), trace: string(c.GetHeader(trace.Header))}
 	if r.id == "" {
 		r.id = uuid.NewString()
 	}
-	if !printable(r.id) {
+	if !isPrintable(r.id) {
 		r.id = uuid.NewString()
-		return r, r.bad(headerRequestID + " must be 1 to 256 printable characters without spaces")
+		return r, r.badRequest(headerRequestID + " must be 1 to 256 printable characters without spaces")
 	}
-	if word := string(c.GetHeader(headerPriority)); word != "" {
-		priority, err := strconv.Atoi(word)
+	if value := string(c.GetHeader(headerPriority)); value != "" {
+		priority, err := strconv.Atoi(value)
 		if err != nil || priority < 0 || priority > maxPriority {
-			return r, r.bad(headerPriority + " must be a whole number from 0 to 9")
+			return r, r.badRequest(headerPriority + " must be a whole number from 0 to 9")
 		}
 		r.priority = priority
 	}
-	if word := string(c.GetHeader(headerDeadline)); word != "" {
-		ms, err := strconv.ParseInt(word, 10, 64)
+	if value := string(c.GetHeader(headerDeadline)); value != "" {
+		ms, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
-			return r, r.bad(headerDeadline + " must be milliseconds from 1 to 3600000")
+			return r, r.badRequest(headerDeadline + " must be milliseconds from 1 to 3600000")
 		}
 		r.deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	}
-	if word := string(c.GetHeader(headerOnce)); word != "" {
-		once, err := strconv.ParseBool(word)
+	if value := string(c.GetHeader(headerOnce)); value != "" {
+		once, err := strconv.ParseBool(value)
 		if err != nil {
-			return r, r.bad(headerOnce + " must be true or false")
+			return r, r.badRequest(headerOnce + " must be true or false")
 		}
 		r.once = once
 	}
 	r.key = string(c.GetHeader(headerKey))
-	if r.key != "" && !printable(r.key) {
-		return r, r.bad(headerKey + " must be 1 to 256 printable characters without spaces")
+	if r.key != "" && !isPrintable(r.key) {
+		return r, r.badRequest(headerKey + " must be 1 to 256 printable characters without spaces")
 	}
 	return r, nil
 }
 
-func printable(word string) bool {
-	if len(word) > maxHeaderLen {
+func isPrintable(value string) bool {
+	if len(value) > maxHeaderLen {
 		return false
 	}
-	for i := 0; i < len(word); i++ {
-		if word[i] <= ' ' || word[i] > '~' {
+	for i := 0; i < len(value); i++ {
+		if value[i] <= ' ' || value[i] > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *request) bad(message string) *Refusal {
+func (r *request) badRequest(message string) *Refusal {
 	return r.refuse(consts.StatusBadRequest, ReasonBadRequest, DidNotRun, message)
 }
 
@@ -118,7 +120,7 @@
 	return refusal
 }
 
-// completionBody is the part of a completion's body that the gateway reads.
+// completionBody holds the fields of a completion request that the gateway reads.
 type completionBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -126,53 +128,54 @@
 	Messages json.RawMessage `json:"messages"`
 }
 
-// readCompletion reads a completion's body and resolves what it names.
+// readCompletion parses the body of a completion request and resolves its model name.
 func (r *request) readCompletion(body []byte, set *config.Set) *Refusal {
 	var fields map[string]json.RawMessage
-	var known completionBody
-	if err := json.Unmarshal(body, &known); err != nil {
-		return r.bad("the body is not the JSON of a completion: " + err.Error())
+	var parsed completionBody
+	if err := json.Unmarshal(body, &parsed); err != nil {
+		return r.badRequest("the body is not the JSON of a completion: " + err.Error())
 	}
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return r.bad("the body is not a JSON object: " + err.Error())
+		return r.badRequest("the body is not a JSON object: " + err.Error())
 	}
-	if known.Model == "" {
-		return r.bad("the body names no model")
+	if parsed.Model == "" {
+		return r.badRequest("the body names no model")
 	}
-	if len(known.Prompt) == 0 && len(known.Messages) == 0 {
-		return r.bad("the body has neither messages nor a prompt")
+	if len(parsed.Prompt) == 0 && len(parsed.Messages) == 0 {
+		return r.badRequest("the body has neither messages nor a prompt")
 	}
-	resolved, found := set.Resolve(known.Model)
+	resolved, found := set.Resolve(parsed.Model)
 	if !found {
-		return r.refuse(consts.StatusNotFound, ReasonUnknownModel, DidNotRun, "there is no model, adapter or label "+strconv.Quote(known.Model))
+		return r.refuse(consts.StatusNotFound, ReasonUnknownModel, DidNotRun, "there is no model, adapter or label "+strconv.Quote(parsed.Model))
 	}
-	r.named = known.Model
-	r.stream = known.Stream
+	r.requestedModel = parsed.Model
+	r.stream = parsed.Stream
 	r.want = route.Want{Model: resolved.Model(), Adapter: resolved.Adapter()}
 	r.target = set.Model(resolved.Model()).Target
-	prompt := known.Messages
+	prompt := parsed.Messages
 	if len(prompt) == 0 {
-		prompt = known.Prompt
+		prompt = parsed.Prompt
 	}
 	r.prefix = prefixHash(r.want, prompt)
-	return r.rewrite(fields)
+	return r.rewriteBody(fields)
 }
 
-// rewrite makes the body that engines get: the resolved name, always a stream,
-// so that a broken answer can go on elsewhere.
-func (r *request) rewrite(fields map[string]json.RawMessage) *Refusal {
+// rewriteBody builds the body that is sent to engines. It has the resolved model
+// name and always requests a stream, so that a broken answer can be resumed on
+// another host.
+func (r *request) rewriteBody(fields map[string]json.RawMessage) *Refusal {
 	name := r.want.Model
 	if r.want.Adapter != "" {
 		name = r.want.Adapter
 	}
 	quoted, err := json.Marshal(name)
 	if err != nil {
-		return r.bad("the model's name can't be written as JSON")
+		return r.badRequest("the model's name can't be written as JSON")
 	}
 	fields["model"] = quoted
 	fields["stream"] = json.RawMessage("true")
 	if r.body, err = json.Marshal(fields); err != nil {
-		return r.bad("the body can't be written as JSON: " + err.Error())
+		return r.badRequest("the body can't be written as JSON: " + err.Error())
 	}
 	return nil
 }
@@ -181,6 +184,6 @@
 	hash := xxhash.New()
 	_, _ = hash.WriteString(want.Model)
 	_, _ = hash.WriteString(want.Adapter)
-	_, _ = hash.Write(prompt[:min(len(prompt), prefixBytes)])
+	_, _ = hash.Write(prompt[:min(len(prompt), prefixHashBytes)])
 	return hash.Sum64()
 }
--- a/src/gateway/retry.go
+++ b/src/gateway/retry.go
@@ -10,27 +10,27 @@
 	"github.com/moorspool/moorspool/src/route"
 )
 
-// retry is a failed attempt that may be followed by another.
-type retry struct {
+// failedAttempt is a failed attempt that may be followed by another one.
+type failedAttempt struct {
 	attempt int
 	host    *route.Host
-	// outcome is what is certain about the request, should it end here.
+	// outcome is reported to the client if there is no further attempt.
 	outcome NotRun
-	// begun says that the client has part of the answer.
-	begun bool
-	err   error
+	// answerStarted is set if part of the answer was sent to the client.
+	answerStarted bool
+	err           error
 }
 
-// again decides whether a request may be tried once more. It waits out the
-// backoff and returns nil, or returns the request's refusal at once.
-func (s *Server) again(ctx context.Context, r *request, t retry) *Refusal {
+// prepareRetry decides whether a request may be attempted once more. If so, it
+// waits for the backoff and returns nil; otherwise it returns a refusal at once.
+func (s *Server) prepareRetry(ctx context.Context, r *request, t failedAttempt) *Refusal {
 	if t.attempt >= s.settings.Limits.Attempts {
-		return r.refuse(consts.StatusBadGateway, ReasonExhausted, t.outcome, "every attempt failed: "+t.err.Error()).retryAfter(comeBack)
+		return r.refuse(consts.StatusBadGateway, ReasonAttemptsExhausted, t.outcome, "every attempt failed: "+t.err.Error()).retryAfter(defaultRetryAfter)
 	}
 	if !s.budget.Take() {
-		return r.refuse(consts.StatusServiceUnavailable, ReasonExhausted, t.outcome, "too many requests fail; no retry is left").retryAfter(comeBack)
+		return r.refuse(consts.StatusServiceUnavailable, ReasonAttemptsExhausted, t.outcome, "too many requests fail; no retry is left").retryAfter(defaultRetryAfter)
 	}
-	s.noteRetry(r, t)
+	s.recordRetry(r, t)
 	select {
 	case <-time.After(s.backoff(t.attempt)):
 	case <-ctx.Done():
@@ -38,10 +38,10 @@
 	return nil
 }
 
-func (s *Server) noteRetry(r *request, t retry) {
+func (s *Server) recordRetry(r *request, t failedAttempt) {
 	r.retries++
 	kind := event.RequestRetried
-	if t.begun {
+	if t.answerStarted {
 		kind = event.RequestResumed
 		s.counts.resumed.Add(1)
 		s.metrics.resumed.Inc(1)
--- a/src/gateway/routes.go
+++ b/src/gateway/routes.go
@@ -14,18 +14,19 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of routes.
+// Timing of route subscriptions and reports.
 const (
-	routeSilence = 2 * time.Second
-	reportEvery  = time.Second
-	// tellEvery is how often a planner hears from a gateway without news.
-	tellEvery   = 3 * time.Second
-	resubscribe = 500 * time.Millisecond
-	callTimeout = 2 * time.Second
+	routesIdleTimeout = 2 * time.Second
+	reportInterval    = time.Second
+	// unchangedReportInterval is how often a gateway reports to a planner when
+	// there is neither demand nor a new position.
+	unchangedReportInterval = 3 * time.Second
+	resubscribeDelay        = 500 * time.Millisecond
+	callTimeout             = 2 * time.Second
 )
 
-// Routes keeps the routing table up to date from every zone's planner and
-// reports demand back. It is safe for concurrent use.
+// Routes maintains the routing table from the updates of every zone's planner
+// and reports demand to the planners. It is safe for concurrent use.
 type Routes struct {
 	node     string
 	zone     string
@@ -33,62 +34,64 @@
 	meter    *rpc.Meter
 	cut      *fault.Cut
 	now      func() time.Time
-	changed  func()
+	onChange func()
 	table    atomic.Pointer[route.Table]
 
-	mu       sync.Mutex
-	hosts    map[string]*route.Host
-	known    map[string]map[string]wire.HostRoute
-	position map[string]position
-	planners map[string]*rpc.Client
-	breakers map[string]*route.Breaker
-	demand   map[string]*wire.ModelDemand
-	told     map[string]telling
+	mu          sync.Mutex
+	hosts       map[string]*route.Host
+	known       map[string]map[string]wire.HostRoute
+	position    map[string]position
+	planners    map[string]*rpc.Client
+	breakers    map[string]*route.Breaker
+	demand      map[string]*wire.ModelDemand
+	lastReports map[string]sentReport
 }
 
-// telling is what a planner was last told.
-type telling struct {
+// sentReport is the last report that was sent to a planner.
+type sentReport struct {
 	position position
-	at       time.Time
+	sentAt   time.Time
 }
 
-// position is how far a zone's routes are known.
+// position is the epoch and sequence number of the last update of a zone's
+// routes that was applied.
 type position struct {
 	epoch uint64
 	seq   uint64
 }
 
-// NewRoutes returns routes for a gateway in a zone; changed is called after the table moved.
-func NewRoutes(node, zone string, follower *follow.Follower, meter *rpc.Meter, cut *fault.Cut, now func() time.Time, changed func()) *Routes {
+// NewRoutes returns the routes of a gateway in a zone. It calls onChange after
+// each change of the routing table.
+func NewRoutes(node, zone string, follower *follow.Follower, meter *rpc.Meter, cut *fault.Cut, now func() time.Time, onChange func()) *Routes {
 	r := &Routes{
-		node:     node,
-		zone:     zone,
-		follower: follower,
-		meter:    meter,
-		cut:      cut,
-		now:      now,
-		changed:  changed,
-		hosts:    map[string]*route.Host{},
-		known:    map[string]map[string]wire.HostRoute{},
-		position: map[string]position{},
-		planners: map[string]*rpc.Client{},
-		breakers: map[string]*route.Breaker{},
-		demand:   map[string]*wire.ModelDemand{},
-		told:     map[string]telling{},
+		node:        node,
+		zone:        zone,
+		follower:    follower,
+		meter:       meter,
+		cut:         cut,
+		now:         now,
+		onChange:    onChange,
+		hosts:       map[string]*route.Host{},
+		known:       map[string]map[string]wire.HostRoute{},
+		position:    map[string]position{},
+		planners:    map[string]*rpc.Client{},
+		breakers:    map[string]*route.Breaker{},
+		demand:      map[string]*wire.ModelDemand{},
+		lastReports: map[string]sentReport{},
 	}
 	r.table.Store(route.NewTable(zone, nil, nil))
 	return r
 }
 
-// Table returns the present table.
+// Table returns the current routing table.
 func (r *Routes) Table() *route.Table { return r.table.Load() }
 
-// Register lets peers ask for the routes.
+// Register registers the RPC method by which other gateways fetch the routes.
 func (r *Routes) Register(mux *rpc.Mux) {
-	mux.Handle(wire.MethodPeerRoutes, rpc.Typed(r.answerPeer))
+	mux.Handle(wire.MethodPeerRoutes, rpc.Typed(r.handlePeerRoutes))
 }
 
-func (r *Routes) answerPeer(context.Context, *rpc.Peer, wire.Empty) (wire.RoutesReply, error) {
+func (r *Routes) handlePeerRoutes(context.Context, *rpc.Peer, wire.Empty) (wire.RoutesReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var reply wire.RoutesReply
@@ -102,9 +105,9 @@
 	return reply, nil
 }
 
-// take takes in an update of a zone. What an older epoch says is ignored; a
-// planner that begins anew sends everything.
-func (r *Routes) take(update wire.RoutesUpdate) {
+// apply applies an update of a zone's routes. It ignores updates of older
+// epochs. A newly started planner sends a full update.
+func (r *Routes) apply(update wire.RoutesUpdate) {
 	r.mu.Lock()
 	at := r.position[update.Zone]
 	if update.Epoch < at.epoch {
@@ -117,35 +120,36 @@
 	r.position[update.Zone] = position{epoch: update.Epoch, seq: update.Seq}
 	for _, host := range update.Hosts {
 		r.known[update.Zone][host.Host] = host
-		r.note(host)
+		r.updateHost(host)
 	}
 	for _, load := range update.Loads {
 		if host := r.hosts[load.Host]; host != nil {
 			host.Reported(load.Running, load.Waiting, r.now())
 		}
 	}
-	moved := len(update.Hosts) > 0 || update.Full
-	if moved {
+	tableChanged := len(update.Hosts) > 0 || update.Full
+	if tableChanged {
 		r.rebuild()
 	}
 	r.mu.Unlock()
-	if moved {
-		r.changed()
+	if tableChanged {
+		r.onChange()
 	}
 }
 
-// note keeps a host's counters over changes of its routes; a host that moved to
-// another address is another host.
-func (r *Routes) note(described wire.HostRoute) {
-	host := r.hosts[described.Host]
-	if host == nil || host.Address() != described.Address {
-		r.hosts[described.Host] = route.NewHost(described, r.breaker(described.Zone))
+// updateHost creates the state of a host or updates it. A host keeps its counters
+// when its routes change; one whose address changed is treated as a new host.
+func (r *Routes) updateHost(hostRoute wire.HostRoute) {
+	host := r.hosts[hostRoute.Host]
+	if host == nil || host.Address() != hostRoute.Address {
+		r.hosts[hostRoute.Host] = route.NewHost(hostRoute, r.breaker(hostRoute.Zone))
 		return
 	}
-	host.SetState(described.State)
+	host.SetState(hostRoute.State)
 }
 
-// breaker returns the breaker that the hosts of another zone share.
+// breaker returns the circuit breaker that the hosts of another zone share, nil
+// for the gateway's own zone.
 func (r *Routes) breaker(zone string) *route.Breaker {
 	if zone == r.zone {
 		return nil
@@ -166,7 +170,7 @@
 	r.table.Store(route.NewTable(r.zone, all, r.hosts))
 }
 
-// Run follows the planners until the context ends.
+// Run subscribes to the planners' routes and reports demand until the context ends.
 func (r *Routes) Run(ctx context.Context) {
 	go r.reportDemand(ctx)
 	for ctx.Err() == nil {
@@ -179,7 +183,8 @@
 	}
 }
 
-// followPlanners starts a subscription for each zone whose planner is new.
+// followPlanners starts a subscription for each zone that has a new planner and
+// closes the client of the planner that it replaces.
 func (r *Routes) followPlanners(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,20 +197,21 @@
 		}
 		mux := rpc.NewMux()
 		mux.Handle(wire.MethodRoutes, rpc.Typed(r.update))
-		client := rpc.NewClient(address, mux, r.meter, r.cut, routeSilence)
+		client := rpc.NewClient(address, mux, r.meter, r.cut, routesIdleTimeout)
 		r.planners[zone] = client
 		go r.subscribe(ctx, zone, client)
 	}
 }
 
 func (r *Routes) update(_ context.Context, _ *rpc.Peer, update wire.RoutesUpdate) (wire.Empty, error) {
-	r.take(update)
+	r.apply(update)
 	return wire.Empty{}, nil
 }
 
-// subscribe keeps a zone's stream alive until another planner takes the zone over.
+// subscribe keeps the subscription to a zone's routes open until the zone has
+// another planner.
 func (r *Routes) subscribe(ctx context.Context, zone string, client *rpc.Client) {
-	for ctx.Err() == nil && r.current(zone, client) {
+	for ctx.Err() == nil && r.isCurrent(zone, client) {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := client.Call(callCtx, wire.MethodWatchRoutes, wire.RoutesRequest{Node: r.node, Zone: r.zone}, nil)
 		cancel()
@@ -216,21 +222,21 @@
 			}
 		}
 		select {
-		case <-time.After(resubscribe):
+		case <-time.After(resubscribeDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (r *Routes) current(zone string, client *rpc.Client) bool {
+func (r *Routes) isCurrent(zone string, client *rpc.Client) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.planners[zone] == client
 }
 
-// AskPeers takes the routes that other gateways of the zone know, for a
-// start while a planner is out of reach.
-func (r *Routes) AskPeers(ctx context.Context) {
+// FetchFromPeers fetches the routes from other gateways of the zone, so that a
+// gateway can start while a planner can't be reached.
+func (r *Routes) FetchFromPeers(ctx context.Context) {
 	for _, peer := range r.follower.Peers() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		var reply wire.RoutesReply
@@ -240,23 +246,23 @@
 			continue
 		}
 		for _, update := range reply.Zones {
-			r.takeFromPeer(update)
+			r.applyFromPeer(update)
 		}
 		return
 	}
 }
 
-// takeFromPeer takes a zone's routes only where nothing better is known.
-func (r *Routes) takeFromPeer(update wire.RoutesUpdate) {
+// applyFromPeer applies the routes of a zone of which none are known yet.
+func (r *Routes) applyFromPeer(update wire.RoutesUpdate) {
 	r.mu.Lock()
 	_, known := r.known[update.Zone]
 	r.mu.Unlock()
 	if !known {
-		r.take(update)
+		r.apply(update)
 	}
 }
 
-// Served counts a request for the demand report; busy is its time on a backend server.
+// Served counts a finished request for the demand report; busy is its duration.
 func (r *Routes) Served(model string, busy time.Duration) {
 	r.count(model, func(d *wire.ModelDemand) {
 		d.Requests++
@@ -264,7 +270,7 @@
 	})
 }
 
-// Unserved counts a request that found no ready copy.
+// Unserved counts a request whose model had no ready copy.
 func (r *Routes) Unserved(model string) {
 	r.count(model, func(d *wire.ModelDemand) { d.Unserved++ })
 }
@@ -281,7 +287,7 @@
 }
 
 func (r *Routes) reportDemand(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -293,9 +299,9 @@
 	}
 }
 
-// sendReports tells each planner which routes are in force here, and the
-// demand for the models that it should place. While a planner is out of reach
-// the counts are lost, as they would be too old to act on.
+// sendReports reports to each planner the position of its routes at this gateway
+// and the demand for the models that it serves. Counts for a planner that can't
+// be reached are dropped; they would be outdated by the time it can be.
 func (r *Routes) sendReports(ctx context.Context) {
 	r.mu.Lock()
 	demand := r.demand
@@ -308,14 +314,14 @@
 	for zone, client := range clients {
 		report := r.report(zone)
 		for _, model := range demand {
-			if r.placedBy(model.Model) == zone {
+			if r.servingZone(model.Model) == zone {
 				report.Models = append(report.Models, *model)
 			}
 		}
-		if len(report.Models) == 0 && !r.due(zone, report, r.now()) {
+		if len(report.Models) == 0 && !r.reportDue(zone, report, r.now()) {
 			continue
 		}
-		r.tell(zone, report, r.now())
+		r.recordReport(zone, report, r.now())
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
@@ -324,9 +330,9 @@
 	}
 }
 
-// placedBy returns the zone whose copies of a model serve this gateway: its
-// own if the model lives there.
-func (r *Routes) placedBy(model string) string {
+// servingZone returns the zone whose copies of a model serve this gateway: its
+// own zone if the model is assigned to it, otherwise the first one assigned.
+func (r *Routes) servingZone(model string) string {
 	zones := r.follower.Set().AssignedZones(model)
 	for _, zone := range zones {
 		if zone == r.zone {
@@ -346,26 +352,27 @@
 	return wire.DemandReport{Node: r.node, Taken: at.seq, Epoch: at.epoch}
 }
 
-// due reports whether a report without demand has to go out: the planner must
-// hear of newer routes at once, and otherwise now and then that this host lives.
-func (r *Routes) due(zone string, report wire.DemandReport, now time.Time) bool {
+// reportDue reports whether a report without demand is due. A new position is
+// reported at once, an unchanged one every unchangedReportInterval, so that the
+// planner knows that this gateway is alive.
+func (r *Routes) reportDue(zone string, report wire.DemandReport, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last := r.told[zone]
-	if last.position == (position{epoch: report.Epoch, seq: report.Taken}) && now.Sub(last.at) < tellEvery {
+	last := r.lastReports[zone]
+	if last.position == (position{epoch: report.Epoch, seq: report.Taken}) && now.Sub(last.sentAt) < unchangedReportInterval {
 		return false
 	}
 	return true
 }
 
-func (r *Routes) tell(zone string, report wire.DemandReport, now time.Time) {
+func (r *Routes) recordReport(zone string, report wire.DemandReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told[zone] = telling{position: position{epoch: report.Epoch, seq: report.Taken}, at: now}
+	r.lastReports[zone] = sentReport{position: position{epoch: report.Epoch, seq: report.Taken}, sentAt: now}
 }
 
-// Zones returns the number of zones whose routes are known.
-func (r *Routes) Zones() int {
+// KnownZones returns the number of zones whose routes are known.
+func (r *Routes) KnownZones() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.known)
--- a/src/gateway/server.go
+++ b/src/gateway/server.go
@@ -26,7 +26,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Server takes clients' requests; it is safe for concurrent use.
+// Server serves client requests. It is safe for concurrent use.
 type Server struct {
 	node     string
 	settings option.Gateway
@@ -49,7 +49,7 @@
 	random   sync.Pool
 }
 
-// counters count since the start.
+// counters are totals since the process started.
 type counters struct {
 	requests atomic.Uint64
 	refused  atomic.Uint64
@@ -57,7 +57,7 @@
 	resumed  atomic.Uint64
 }
 
-// Dependencies are what a server works with.
+// Dependencies are the components that a server uses.
 type Dependencies struct {
 	Follower *follow.Follower
 	Routes   *Routes
@@ -70,7 +70,7 @@
 	Now      func() time.Time
 }
 
-// New returns a server that does not listen yet.
+// New returns a server; Listen or Serve starts it.
 func New(settings option.Gateway, d Dependencies) *Server {
 	s := &Server{
 		node:     settings.Node,
@@ -91,7 +91,7 @@
 	return s
 }
 
-// Listen starts to take clients' requests.
+// Listen opens the listener for clients and serves requests on it.
 func (s *Server) Listen() error {
 	ln, err := net.Listen("tcp", s.settings.Clients)
 	if err != nil {
@@ -101,10 +101,10 @@
 	return nil
 }
 
-// Serve starts to take clients' requests on a listener.
+// Serve serves client requests on a listener, in the background.
 func (s *Server) Serve(ln net.Listener) {
 	h := process.NewServer(ln, int(s.settings.Limits.Body))
-	h.Use(s.count)
+	h.Use(s.trackRequest)
 	h.POST(engine.PathChat, s.completion)
 	h.POST(engine.PathCompletions, s.completion)
 	h.GET("/v1/models", s.models)
@@ -117,11 +117,11 @@
 	go func() { _ = h.Run() }()
 }
 
-func (s *Server) count(ctx context.Context, c *app.RequestContext) {
+func (s *Server) trackRequest(ctx context.Context, c *app.RequestContext) {
 	s.inFlight.Add(1)
 	s.counts.requests.Add(1)
 	if s.leaving.Load() {
-		// The client's next request has to come on a connection to another gateway.
+		// Makes the client open its next connection, which reaches another gateway.
 		c.SetConnectionClose()
 	}
 	c.Next(ctx)
@@ -131,12 +131,12 @@
 // InFlight returns the number of requests being served.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// CloseListener stops taking connections; requests in flight go on.
+// CloseListener stops accepting connections; requests in flight continue.
 func (s *Server) CloseListener(ctx context.Context) {
 	_ = s.hertz.Shutdown(ctx)
 }
 
-// Status returns the gateway's part of a status.
+// Status returns the gateway's part of the process status.
 func (s *Server) Status() *wire.GatewayStatus {
 	table := s.routes.Table()
 	return &wire.GatewayStatus{
@@ -157,7 +157,8 @@
 	refusal.write(c)
 }
 
-// pick chooses a host; a random source is never shared while in use.
+// pick selects a host for the request's next attempt. The random sources are
+// pooled, since one must not be used by two goroutines at once.
 func (s *Server) pick(r *request) (*route.Host, route.Verdict) {
 	random := s.random.Get().(*rand.Rand)
 	defer s.random.Put(random)
@@ -170,13 +171,13 @@
 	return limit.Backoff(n, random)
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
-	Object string      `json:"object"`
-	Data   []modelLine `json:"data"`
+	Object string       `json:"object"`
+	Data   []modelEntry `json:"data"`
 }
 
-type modelLine struct {
+type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
@@ -184,15 +185,16 @@
 	Ready   bool   `json:"ready"`
 }
 
-// models lists every name that requests may use, and whether it is ready.
+// models lists the names of all models and adapters, and whether each has a
+// ready copy.
 func (s *Server) models(_ context.Context, c *app.RequestContext) {
 	set, table := s.follower.Set(), s.routes.Table()
 	list := modelList{Object: "list"}
 	for _, name := range set.ModelNames() {
-		list.Data = append(list.Data, modelLine{ID: name, Object: "model", OwnedBy: "moorspool", Ready: table.Has(route.Want{Model: name})})
+		list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: "moorspool", Ready: table.Has(route.Want{Model: name})})
 		for _, adapter := range set.AdapterNames(name) {
 			ready := table.Has(route.Want{Model: name, Adapter: adapter})
-			list.Data = append(list.Data, modelLine{ID: adapter, Object: "model", OwnedBy: "moorspool", Parent: name, Ready: ready})
+			list.Data = append(list.Data, modelEntry{ID: adapter, Object: "model", OwnedBy: "moorspool", Parent: name, Ready: ready})
 		}
 	}
 	c.JSON(consts.StatusOK, list)
