--- a/src/config/bytes.go
+++ b/src/config/bytes.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bytes is an amount of memory, written as "14GiB" in YAML and JSON.
+// Bytes is an amount of memory, written like "14GiB" in YAML and JSON.
 type Bytes int64
 
 // The binary multiples of a byte.
@@ -25,10 +25,10 @@
 	size   Bytes
 }
 
-// Longest suffix first, so that "GiB" is not read as "B".
+// The units, with "B" last, since the other suffixes end with it too.
 var byteUnits = []byteUnit{{"KiB", KiB}, {"MiB", MiB}, {"GiB", GiB}, {"B", 1}}
 
-// String writes the largest unit that divides the amount.
+// String formats the amount in the largest unit that divides it.
 func (b Bytes) String() string {
 	switch {
 	case b != 0 && b%GiB == 0:
@@ -41,35 +41,36 @@
 	return strconv.FormatInt(int64(b), 10) + "B"
 }
 
-// MarshalText writes the amount as String does.
+// MarshalText formats the amount as String does.
 func (b Bytes) MarshalText() ([]byte, error) { return []byte(b.String()), nil }
 
-// UnmarshalYAML reads an amount; its error has the place.
+// UnmarshalYAML parses an amount. Its error holds the location.
 func (b *Bytes) UnmarshalYAML(node ast.Node) error { return unmarshalAt(node, b) }
 
-// unmarshalAt reads a scalar as text and gives its error the scalar's place.
-func unmarshalAt(node ast.Node, into encoding.TextUnmarshaler) error {
+// unmarshalAt parses a scalar as text. Its error holds the scalar's location.
+func unmarshalAt(node ast.Node, target encoding.TextUnmarshaler) error {
 	text := node.GetToken().Value
-	if err := into.UnmarshalText([]byte(text)); err != nil {
+	if err := target.UnmarshalText([]byte(text)); err != nil {
 		return &yaml.SyntaxError{Message: err.Error(), Token: node.GetToken()}
 	}
 	return nil
 }
 
-// UnmarshalText reads an amount such as "14GiB"; it fails without a unit or on a negative amount.
+// UnmarshalText parses an amount such as "14GiB". It fails if the unit is missing
+// or the amount is negative.
 func (b *Bytes) UnmarshalText(text []byte) error {
-	word := strings.TrimSpace(string(text))
+	trimmed := strings.TrimSpace(string(text))
 	for _, unit := range byteUnits {
-		digits, found := strings.CutSuffix(word, unit.suffix)
+		digits, found := strings.CutSuffix(trimmed, unit.suffix)
 		if !found {
 			continue
 		}
 		amount, err := strconv.ParseInt(strings.TrimSpace(digits), 10, 64)
 		if err != nil || amount < 0 || amount > (1<<62)/int64(unit.size) {
-			return errors.Errorf("%q is not an amount of memory such as 14GiB", word)
+			return errors.Errorf("%q is not an amount of memory such as 14GiB", trimmed)
 		}
 		*b = Bytes(amount) * unit.size
 		return nil
 	}
-	return errors.Errorf("%q is not an amount of memory such as 14GiB", word)
+	return errors.Errorf("%q is not an amount of memory such as 14GiB", trimmed)
 }
--- a/src/config/check.go
+++ b/src/config/check.go
@@ -9,17 +9,18 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// maxAccelerators bounds one replica's accelerators.
+// maxAccelerators limits the accelerators of one replica.
 const maxAccelerators = 64
 
+// checker validates a set and collects the findings.
 type checker struct {
 	set      *Set
 	places   map[Key]Place
 	findings Findings
 }
 
-// Check returns everything wrong with the set as a whole; places gives where
-// changed objects were written and may lack the others.
+// Check validates a whole set and returns all findings. places holds where objects
+// were read from; findings about objects that it lacks have no line and column.
 func Check(set *Set, places map[Key]Place) Findings {
 	c := &checker{set: set, places: places}
 	for _, object := range set.Objects() {
@@ -31,15 +32,15 @@
 	return c.findings
 }
 
-// CheckSources returns what is wrong with the set that the sources alone
-// make, with duplicates among them.
+// CheckSources validates the set that consists of the sources alone and reports
+// duplicates among them.
 func CheckSources(sources []Source) Findings {
 	places := map[Key]Place{}
 	var objects []Object
 	var findings Findings
 	for _, source := range sources {
 		key := source.object.Key
-		if _, twice := places[key]; twice {
+		if _, duplicate := places[key]; duplicate {
 			findings = append(findings, source.place.At("name", key.String()+" is written twice"))
 			continue
 		}
@@ -123,9 +124,9 @@
 	if selector.Copies < 0 {
 		c.report(key, "copies", "copies must not be negative")
 	}
-	known := c.zones()
+	existing := c.zones()
 	for _, zone := range selector.Zones {
-		if _, found := known[zone]; !found {
+		if _, found := existing[zone]; !found {
 			c.report(key, "zones", "no pool has replicas in availability zone %q", zone)
 		}
 	}
@@ -181,20 +182,22 @@
 	}
 }
 
-type zoneSum struct {
+// zoneMemory holds the memory of an availability zone: the sum and the largest of
+// its accelerators, and what the models that are restricted to it need.
+type zoneMemory struct {
 	capacity Bytes
 	largest  Bytes
 	need     Bytes
 }
 
-func (c *checker) zones() map[string]*zoneSum {
-	sums := map[string]*zoneSum{}
+func (c *checker) zones() map[string]*zoneMemory {
+	sums := map[string]*zoneMemory{}
 	for _, object := range c.set.OfKind(KindPool) {
 		usable := object.Pool.Usable()
 		for _, zone := range object.Pool.Zones {
 			sum := sums[zone.Zone]
 			if sum == nil {
-				sum = &zoneSum{}
+				sum = &zoneMemory{}
 				sums[zone.Zone] = sum
 			}
 			sum.capacity += usable * Bytes(object.Pool.Accelerators*zone.Replicas)
@@ -206,12 +209,13 @@
 	return sums
 }
 
-// checkCapacity refuses a configuration whose models cannot all be resident
-// once. It compares sums and the largest accelerator; a packing that fails
-// although the sums fit is reported by the planner as model-unplaced.
+// checkCapacity rejects a configuration if one copy of every model can't be
+// resident at the same time. It compares only the sums of memory and the largest
+// accelerator. If the sums fit but no placement exists, the planner reports
+// model-unplaced.
 func (c *checker) checkCapacity() {
 	sums := c.zones()
-	if len(sums) == 0 || len(c.set.modelKeys) == 0 {
+	if len(sums) == 0 || len(c.set.modelNames) == 0 {
 		return
 	}
 	names := make([]string, 0, len(sums))
@@ -225,7 +229,7 @@
 	}
 	sort.Strings(names)
 	var need Bytes
-	for _, model := range c.set.modelKeys {
+	for _, model := range c.set.modelNames {
 		footprint := c.set.Footprint(model)
 		need += footprint
 		if footprint > largest {
@@ -240,17 +244,17 @@
 		}
 	}
 	if need > capacity {
-		c.report(Key{KindModel, c.set.modelKeys[0]}, "memory", "all %d models need %s to be resident once, but the accelerators of %s have %s", len(c.set.modelKeys), need, strings.Join(names, ", "), capacity)
+		c.report(Key{KindModel, c.set.modelNames[0]}, "memory", "all %d models need %s to be resident once, but the accelerators of %s have %s", len(c.set.modelNames), need, strings.Join(names, ", "), capacity)
 	}
 	for _, name := range names {
 		if sums[name].need > sums[name].capacity {
-			c.report(Key{KindModel, c.set.modelKeys[0]}, "memory", "models that may only live in %s need %s, but it has %s", name, sums[name].need, sums[name].capacity)
+			c.report(Key{KindModel, c.set.modelNames[0]}, "memory", "models that may only live in %s need %s, but it has %s", name, sums[name].need, sums[name].capacity)
 		}
 	}
 }
 
-// AllowedZones returns the availability zones that the selectors leave a
-// model, sorted, and whether any selector limits it at all.
+// AllowedZones returns the availability zones that the selectors allow for a
+// model, sorted, and whether any selector limits them.
 func (s *Set) AllowedZones(model string) (allowed []string, limited bool) {
 	for _, object := range s.OfKind(KindSelector) {
 		if len(object.Selector.Zones) == 0 || !object.Selector.Matches(s.Model(model)) {
@@ -268,13 +272,13 @@
 }
 
 func intersect(a, b []string) []string {
-	var both []string
+	var common []string
 	for _, x := range a {
 		for _, y := range b {
 			if x == y {
-				both = append(both, x)
+				common = append(common, x)
 			}
 		}
 	}
-	return both
+	return common
 }
--- a/src/config/config_test.go
+++ b/src/config/config_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWrongInputIsReportedAllAtOnceWithItsPlace(t *testing.T) {
+func TestAllFindingsAreReportedWithTheirLocation(t *testing.T) {
 	text := `kind: model
 name: Big
 memory: 12
@@ -51,7 +51,7 @@
 	return Object{Key: Key{KindModel, name}, Model: &Model{Memory: size, Version: "v1"}}
 }
 
-func TestConfigurationThatCannotBeResidentIsRefusedWithItsSums(t *testing.T) {
+func TestConfigurationExceedingMemoryIsRefused(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Check(NewSet(Revision{}, []Object{pool(2), model("a", 9*GiB), model("b", 9*GiB)}), nil)), 0)
 	findings := Check(NewSet(Revision{}, []Object{pool(1), model("a", 9*GiB), model("b", 9*GiB)}), nil)
@@ -61,7 +61,7 @@
 	is.True(strings.Contains(findings.Error(), "takes 11GiB"))
 }
 
-func TestSetOnlyMovesForward(t *testing.T) {
+func TestSetIgnoresOlderUpdatesAndGaps(t *testing.T) {
 	is := is.New(t)
 	first := NewSet(Revision{Term: 2, Index: 10}, []Object{model("a", GiB)})
 	for _, update := range []Update{
--- a/src/config/doc.go
+++ b/src/config/doc.go
@@ -1,3 +1,3 @@
-// Package config holds the operators' configuration: its objects, their YAML
-// form, the checks that a change must pass, and the revisions that order it.
+// Package config defines the operators' configuration: its objects, their YAML
+// format, the validation of changes, and the revisions that order them.
 package config
--- a/src/config/finding.go
+++ b/src/config/finding.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Finding is one thing wrong with an input, with its place.
+// Finding is one error in an input and its location.
 type Finding struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -14,7 +14,7 @@
 	Message string `json:"message"`
 }
 
-// String returns file:line:column: message.
+// String returns "file:line:column: message", or "file: message" without a line.
 func (f Finding) String() string {
 	if f.Line == 0 {
 		return fmt.Sprintf("%s: %s", f.File, f.Message)
@@ -22,10 +22,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
 }
 
-// Findings is an error that reports everything wrong with an input at once.
+// Findings is an error that holds all findings of an input.
 type Findings []Finding
 
-// Error returns one finding a line.
+// Error returns the findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -34,7 +34,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the findings as an error, nil if there are none.
+// Err returns the findings as an error in the order of file and line, nil if there
+// are none.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
--- a/src/config/object.go
+++ b/src/config/object.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// Kind says what an object is.
+// Kind is the type of an object.
 type Kind string
 
-// The kinds that operators write, and those (last two) that the system keeps
-// beside them so that they reach every process the same way.
+// The kinds of objects. The system writes assignments and authorities itself and
+// distributes them to all processes with the objects that operators write.
 const (
 	KindModel      Kind = "model"
 	KindAdapter    Kind = "adapter"
@@ -25,7 +25,7 @@
 	KindAuthority  Kind = "authority"
 )
 
-// Key names one object.
+// Key identifies an object.
 type Key struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -34,7 +34,7 @@
 // String returns kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Revision is a place in the control nodes' log; it orders all configuration.
+// Revision is a position in the control nodes' log. It orders configurations.
 type Revision struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
@@ -48,67 +48,67 @@
 	return r.Index < other.Index
 }
 
-// Model is a set of weights that requests name.
+// Model is a model that requests can name.
 type Model struct {
 	// Memory is the size of the weights on an accelerator.
 	Memory Bytes `json:"memory" yaml:"memory"`
-	// KVFloor is the least memory for KV cache that a copy needs.
+	// KVFloor is the minimum memory for the KV cache of a copy.
 	KVFloor Bytes `json:"kvFloor" yaml:"kvFloor"`
-	// Version changes when new weights are to replace the old ones.
+	// Version identifies the weights. A new version replaces the old weights.
 	Version string            `json:"version" yaml:"version"`
 	Labels  map[string]string `json:"labels,omitempty" yaml:"labels"`
 	Target  Target            `json:"target" yaml:"target"`
 }
 
-// Target is what a request must meet to count as attained.
+// Target is the latency target of a model's requests.
 type Target struct {
 	FirstToken    Duration `json:"firstToken" yaml:"firstToken"`
 	BetweenTokens Duration `json:"betweenTokens" yaml:"betweenTokens"`
 }
 
-// Adapter is a small set of weights on top of one model.
+// Adapter is a small set of weights that is applied to a model.
 type Adapter struct {
 	Model  string            `json:"model" yaml:"model"`
 	Memory Bytes             `json:"memory" yaml:"memory"`
 	Labels map[string]string `json:"labels,omitempty" yaml:"labels"`
 }
 
-// Label is another name under which a model or adapter is reached.
+// Label is an alias for a model or adapter.
 type Label struct {
 	PointsTo string `json:"pointsTo" yaml:"pointsTo"`
 }
 
-// Selector states what holds for all models whose labels match.
+// Selector sets placement rules for all models with matching labels.
 type Selector struct {
 	Match map[string]string `json:"match" yaml:"match"`
-	// Rank orders models when not all can be met; higher goes first.
+	// Rank orders models when not all can be served; a higher rank goes first.
 	Rank int `json:"rank,omitempty" yaml:"rank"`
-	// Outranks names selectors whose rank must be below this one's.
+	// Outranks names selectors that must have a lower rank than this one.
 	Outranks []string `json:"outranks,omitempty" yaml:"outranks"`
-	// Together asks that matching models share accelerators where they fit.
+	// Together makes matching models share accelerators where they fit.
 	Together bool `json:"together,omitempty" yaml:"together"`
-	// Apart asks that no two matching models share an accelerator.
+	// Apart forbids that two matching models share an accelerator.
 	Apart bool `json:"apart,omitempty" yaml:"apart"`
 	// Zones limits matching models to these availability zones.
 	Zones []string `json:"zones,omitempty" yaml:"zones"`
-	// Copies is the least number of ready copies.
+	// Copies is the minimum number of ready copies.
 	Copies int `json:"copies,omitempty" yaml:"copies"`
 }
 
-// Pool is a group of like backend servers in one or more availability zones.
+// Pool is a group of identical backend servers in one or more availability zones.
 type Pool struct {
 	Zones []PoolZone `json:"zones" yaml:"zones"`
-	// Accelerators is the number on each replica, 0 for plain services.
+	// Accelerators is the number of accelerators per replica, 0 for plain services.
 	Accelerators int `json:"accelerators" yaml:"accelerators"`
-	// Memory is that of one accelerator.
+	// Memory is the memory of one accelerator.
 	Memory Bytes `json:"memory" yaml:"memory"`
-	// Overhead is what the engine itself takes of each accelerator.
+	// Overhead is the memory of each accelerator that the engine itself uses.
 	Overhead Bytes `json:"overhead,omitempty" yaml:"overhead"`
-	// ChecksOrders says whether the engines refuse orders of an older epoch.
+	// ChecksOrders is set if the engines reject orders of an older epoch.
 	ChecksOrders bool `json:"checksOrders" yaml:"checksOrders"`
 }
 
-// Usable returns the memory of one accelerator that models may take.
+// Usable returns the memory of one accelerator that is available to models.
 func (p *Pool) Usable() Bytes {
 	if p.Accelerators == 0 {
 		return 0
@@ -116,63 +116,63 @@
 	return p.Memory - p.Overhead
 }
 
-// PoolZone is a pool's share in one availability zone.
+// PoolZone is the part of a pool in one availability zone.
 type PoolZone struct {
 	Zone     string `json:"zone" yaml:"zone"`
 	Replicas int    `json:"replicas" yaml:"replicas"`
 }
 
-// Service is a plain service that requests are routed to.
+// Service is a service other than a model, to which requests are routed.
 type Service struct {
 	Calls []Call `json:"calls,omitempty" yaml:"calls"`
-	// ClaimExpiry is how long a once key is remembered after its last use.
+	// ClaimExpiry is how long an idempotency key is kept after its last use.
 	ClaimExpiry Duration `json:"claimExpiry,omitempty" yaml:"claimExpiry"`
 }
 
-// Call says how one method and path prefix of a service may be treated.
+// Call sets the properties of a service's calls with one method and path prefix.
 type Call struct {
 	Method string `json:"method" yaml:"method"`
 	Path   string `json:"path" yaml:"path"`
-	// Once marks calls that may not be repeated.
+	// Once marks calls that must not be repeated.
 	Once bool `json:"once" yaml:"once"`
 }
 
-// Policy holds the settings of the whole installation; its name is "default".
+// Policy holds the settings of the whole installation. Its name is "default".
 type Policy struct {
 	Weigh Weigh `json:"weigh" yaml:"weigh"`
 	Store Store `json:"store" yaml:"store"`
 }
 
-// Weigh names the measure that goes first where two pull apart.
+// Weigh is the goal that placement prefers when goals conflict.
 type Weigh string
 
-// The two measures.
+// The goals: requests that meet their target, or few loads and unloads of models.
 const (
 	WeighAttainment Weigh = "attainment"
 	WeighMoves      Weigh = "moves"
 )
 
-// Store gives the weight store's limits.
+// Store holds the limits of the weight store.
 type Store struct {
 	// LoadsPerSecond is the rate at which the store starts loads.
 	LoadsPerSecond float64 `json:"loadsPerSecond" yaml:"loadsPerSecond"`
-	// FullSpeed is the number of loads at once that do not slow each other.
+	// FullSpeed is the number of concurrent loads that do not slow each other down.
 	FullSpeed int `json:"fullSpeed" yaml:"fullSpeed"`
 }
 
-// Assignment is the set of availability zones that a model lives in.
+// Assignment is the set of availability zones in which a model is placed.
 type Assignment struct {
 	Zones []string `json:"zones"`
 }
 
-// Authority names the planner that commands an availability zone's engines.
+// Authority is the planner that controls the engines of an availability zone.
 type Authority struct {
 	Epoch   uint64 `json:"epoch"`
 	Holder  string `json:"holder"`
 	Address string `json:"address"`
 }
 
-// Object is one piece of configuration; exactly the field that its kind names is set.
+// Object is one configuration object. Only the field of its kind is set.
 type Object struct {
 	Key        Key         `json:"key"`
 	Revision   Revision    `json:"revision"`
@@ -188,7 +188,7 @@
 	Authority  *Authority  `json:"authority,omitempty"`
 }
 
-// spec returns the field that the object's kind names.
+// spec returns the field of the object's kind.
 func (o *Object) spec() any {
 	switch o.Key.Kind {
 	case KindModel:
@@ -213,7 +213,8 @@
 	return nil
 }
 
-// Same reports whether both objects say the same, whatever their revisions.
+// Same reports whether both objects have the same key and content, regardless of
+// their revisions.
 func (o Object) Same(other Object) bool {
 	if o.Key != other.Key {
 		return false
@@ -223,21 +224,21 @@
 	return errMine == nil && errTheirs == nil && string(mine) == string(theirs)
 }
 
-// Duration is a time.Duration written as "420ms" in YAML and JSON.
+// Duration is a time.Duration written like "420ms" in YAML and JSON.
 type Duration time.Duration
 
-// Std returns the value as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// MarshalText writes the duration as "420ms".
+// MarshalText formats the duration like "420ms".
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalYAML reads a duration; its error has the place.
+// UnmarshalYAML parses a duration. Its error holds the location.
 func (d *Duration) UnmarshalYAML(node ast.Node) error { return unmarshalAt(node, d) }
 
-// UnmarshalText reads a duration such as "420ms"; it fails on anything else.
+// UnmarshalText parses a duration such as "420ms".
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// Complete reports whether the field that the object's kind names is set.
+// Complete reports whether the field of the object's kind is set.
 func (o *Object) Complete() bool {
 	switch o.Key.Kind {
 	case KindModel:
--- a/src/config/parse.go
+++ b/src/config/parse.go
@@ -12,17 +12,17 @@
 	"github.com/pkg/errors"
 )
 
-// Place says where an object or field was written.
+// Place is the location of an object or field in a file.
 type Place struct {
 	file string
 	node ast.Node
 }
 
-// NewPlace returns the place of a node in a file.
+// NewPlace returns the location of a node in a file.
 func NewPlace(file string, node ast.Node) Place { return Place{file: file, node: node} }
 
-// At returns a finding at the object's field named by path, or at the object
-// itself if it has no such field.
+// At returns a finding located at the object's field path, or at the object itself
+// if it has no such field.
 func (p Place) At(path, message string) Finding {
 	finding := Finding{File: p.file, Message: message}
 	if p.node == nil {
@@ -41,30 +41,31 @@
 	return finding
 }
 
-// Source is an object as read from a file.
+// Source is an object and its location in a file.
 type Source struct {
 	object Object
 	place  Place
 }
 
-// NewSource returns an object that was read from no file, as the administration API gets it.
+// NewSource returns the source of an object that does not come from a file, such as
+// one from the administration API.
 func NewSource(object Object) Source {
 	return Source{object: object, place: Place{file: object.Key.String()}}
 }
 
-// Object returns the object that was read.
+// Object returns the object.
 func (s Source) Object() Object { return s.object }
 
-// Place returns where it was read.
+// Place returns the object's location.
 func (s Source) Place() Place { return s.place }
 
-// Header is what every document starts with.
+// Header holds the fields that all documents have.
 type Header struct {
 	Kind Kind   `yaml:"kind"`
 	Name string `yaml:"name"`
 }
 
-// The documents are flat: kind and name beside the kind's own fields.
+// The types of documents. Kind, name and the fields of the kind are on one level.
 type modelDocument struct {
 	Header `yaml:",inline"`
 	Model  `yaml:",inline"`
@@ -94,7 +95,8 @@
 	Policy `yaml:",inline"`
 }
 
-// ReadFolder reads every .yaml file of a folder, or one file; its error is Findings for bad input.
+// ReadFolder reads all .yaml files of a folder, or a single file. If the input is
+// invalid, its error is of type Findings.
 func ReadFolder(path string) ([]Source, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -118,14 +120,15 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "reading configuration")
 		}
-		more, wrong := Parse(file, text)
-		sources = append(sources, more...)
-		findings = append(findings, wrong...)
+		fileSources, fileFindings := Parse(file, text)
+		sources = append(sources, fileSources...)
+		findings = append(findings, fileFindings...)
 	}
 	return sources, findings.Err()
 }
 
-// Parse reads the YAML documents of one file and collects all that is wrong with them.
+// Parse parses the YAML documents of one file. It returns the valid objects and
+// all findings.
 func Parse(file string, text []byte) ([]Source, Findings) {
 	parsed, err := parser.ParseBytes(text, 0)
 	if err != nil {
@@ -139,7 +142,7 @@
 		}
 		object, err := decode(document.Body)
 		if err != nil {
-			findings = append(findings, placed(file, document.Body, err))
+			findings = append(findings, findingFor(file, document.Body, err))
 			continue
 		}
 		source := Source{object: object, place: Place{file: file, node: document.Body}}
@@ -162,31 +165,31 @@
 	switch head.Kind {
 	case KindModel:
 		var doc modelDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Model = &doc.Model
 	case KindAdapter:
 		var doc adapterDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Adapter = &doc.Adapter
 	case KindLabel:
 		var doc labelDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Label = &doc.Label
 	case KindSelector:
 		var doc selectorDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Selector = &doc.Selector
 	case KindPool:
 		var doc poolDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Pool = &doc.Pool
 	case KindService:
 		var doc serviceDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Service = &doc.Service
 	case KindPolicy:
 		var doc policyDocument
-		err = strict(node, &doc)
+		err = decodeStrict(node, &doc)
 		object.Policy = &doc.Policy
 	default:
 		err = errors.Errorf("kind %q is unknown; use model, adapter, label, selector, pool, service or policy", head.Kind)
@@ -194,11 +197,11 @@
 	return object, err
 }
 
-func strict(node ast.Node, document any) error {
+func decodeStrict(node ast.Node, document any) error {
 	return yaml.NodeToValue(node, document, yaml.Strict())
 }
 
-func placed(file string, node ast.Node, err error) Finding {
+func findingFor(file string, node ast.Node, err error) Finding {
 	var yamlErr yaml.Error
 	if errors.As(err, &yamlErr) {
 		return YAMLFinding(file, err)
@@ -206,7 +209,8 @@
 	return Place{file: file, node: node}.At("kind", err.Error())
 }
 
-// YAMLFinding returns a finding with the place and first line of the YAML library's error.
+// YAMLFinding returns a finding with the message and, if known, the location of an
+// error of the YAML library.
 func YAMLFinding(file string, err error) Finding {
 	finding := Finding{File: file, Message: strings.SplitN(err.Error(), "\n", 2)[0]}
 	var yamlErr yaml.Error
--- a/src/config/set.go
+++ b/src/config/set.go
@@ -4,13 +4,13 @@
 	"sort"
 )
 
-// Set is a whole configuration at one revision; it never changes once built.
+// Set is a complete configuration at one revision. It is immutable.
 type Set struct {
-	revision  Revision
-	objects   map[Key]Object
-	byKind    map[Kind][]Object
-	adapters  map[string][]string
-	modelKeys []string
+	revision   Revision
+	objects    map[Key]Object
+	byKind     map[Kind][]Object
+	adapters   map[string][]string
+	modelNames []string
 }
 
 // NewSet returns a set of the objects at the revision.
@@ -36,7 +36,7 @@
 		sort.Slice(objects, func(i, j int) bool { return objects[i].Key.Name < objects[j].Key.Name })
 	}
 	for _, object := range s.byKind[KindModel] {
-		s.modelKeys = append(s.modelKeys, object.Key.Name)
+		s.modelNames = append(s.modelNames, object.Key.Name)
 	}
 	for _, object := range s.byKind[KindAdapter] {
 		s.adapters[object.Adapter.Model] = append(s.adapters[object.Adapter.Model], object.Key.Name)
@@ -44,19 +44,19 @@
 	return s
 }
 
-// Revision returns the place in the log that the set stands at.
+// Revision returns the revision of the set.
 func (s *Set) Revision() Revision { return s.revision }
 
 // Len returns the number of objects.
 func (s *Set) Len() int { return len(s.objects) }
 
-// Get returns the object of a key.
+// Get returns the object with a key, and whether it exists.
 func (s *Set) Get(key Key) (Object, bool) {
 	object, found := s.objects[key]
 	return object, found
 }
 
-// Objects returns all objects in the order of kind and name.
+// Objects returns all objects, sorted by kind and name.
 func (s *Set) Objects() []Object {
 	all := make([]Object, 0, len(s.objects))
 	for _, object := range s.objects {
@@ -73,31 +73,35 @@
 	return k.Name < other.Name
 }
 
-// OfKind returns the objects of one kind in the order of their names; callers must not change it.
+// OfKind returns the objects of one kind, sorted by name. Callers must not modify
+// the slice.
 func (s *Set) OfKind(kind Kind) []Object { return s.byKind[kind] }
 
-// ModelNames returns the names of all models, sorted; callers must not change it.
-func (s *Set) ModelNames() []string { return s.modelKeys }
+// ModelNames returns the names of all models, sorted. Callers must not modify the
+// slice.
+func (s *Set) ModelNames() []string { return s.modelNames }
 
-// AdapterNames returns the names of a model's adapters, sorted; callers must not change it.
+// AdapterNames returns the names of a model's adapters, sorted. Callers must not
+// modify the slice.
 func (s *Set) AdapterNames(model string) []string { return s.adapters[model] }
 
-// Model returns the model of a name, nil if there is none.
+// Model returns the model with a name, nil if there is none.
 func (s *Set) Model(name string) *Model {
 	return s.objects[Key{KindModel, name}].Model
 }
 
-// Adapter returns the adapter of a name, nil if there is none.
+// Adapter returns the adapter with a name, nil if there is none.
 func (s *Set) Adapter(name string) *Adapter {
 	return s.objects[Key{KindAdapter, name}].Adapter
 }
 
-// Service returns the plain service of a name, nil if there is none.
+// Service returns the plain service with a name, nil if there is none.
 func (s *Set) Service(name string) *Service {
 	return s.objects[Key{KindService, name}].Service
 }
 
-// Policy returns the installation's settings, or the defaults.
+// Policy returns the settings of the installation, or the defaults if none are
+// configured.
 func (s *Set) Policy() Policy {
 	for _, object := range s.OfKind(KindPolicy) {
 		return *object.Policy
@@ -105,7 +109,7 @@
 	return Policy{Weigh: WeighAttainment, Store: Store{LoadsPerSecond: 1, FullSpeed: 1}}
 }
 
-// AssignedZones returns the availability zones that a model lives in.
+// AssignedZones returns the availability zones in which a model is placed.
 func (s *Set) AssignedZones(model string) []string {
 	assignment := s.objects[Key{KindAssignment, model}].Assignment
 	if assignment == nil {
@@ -114,12 +118,13 @@
 	return assignment.Zones
 }
 
-// Authority returns who commands an availability zone's engines, nil if nobody does.
+// Authority returns the planner that controls the engines of an availability zone,
+// nil if there is none.
 func (s *Set) Authority(zone string) *Authority {
 	return s.objects[Key{KindAuthority, zone}].Authority
 }
 
-// Resolved is what a name in a request stands for.
+// Resolved is the model, and possibly the adapter, that a name in a request refers to.
 type Resolved struct {
 	model   string
 	adapter string
@@ -131,7 +136,7 @@
 // Adapter returns the adapter to apply, "" for none.
 func (r Resolved) Adapter() string { return r.adapter }
 
-// Resolve follows a name through at most one label to a model or adapter.
+// Resolve resolves the name of a model, an adapter or a label.
 func (s *Set) Resolve(name string) (Resolved, bool) {
 	if label := s.objects[Key{KindLabel, name}].Label; label != nil {
 		name = label.PointsTo
@@ -145,7 +150,8 @@
 	return Resolved{}, false
 }
 
-// Rank returns the highest rank that a selector gives a model, 0 if none does.
+// Rank returns the highest rank among the selectors that match a model, but at
+// least 0.
 func (s *Set) Rank(model string) int {
 	rank := 0
 	for _, object := range s.OfKind(KindSelector) {
@@ -156,7 +162,7 @@
 	return rank
 }
 
-// Matches reports whether the model has every label of the selector.
+// Matches reports whether the model has all labels of the selector.
 func (sel *Selector) Matches(model *Model) bool {
 	if model == nil {
 		return false
@@ -169,7 +175,8 @@
 	return true
 }
 
-// Footprint returns what one copy takes on an accelerator: weights, KV floor and all adapters.
+// Footprint returns the memory that one copy needs on an accelerator: the weights,
+// the minimum KV cache and all adapters.
 func (s *Set) Footprint(name string) Bytes {
 	model := s.Model(name)
 	if model == nil {
--- a/src/config/update.go
+++ b/src/config/update.go
@@ -1,19 +1,19 @@
 package config
 
-// Update carries a process from one revision to a later one.
+// Update holds the changes from one revision to a later one.
 type Update struct {
-	// From is the revision that a delta applies to; it is empty in a full update.
+	// From is the revision to which a delta applies. It is empty in a full update.
 	From Revision `json:"from"`
 	To   Revision `json:"to"`
-	// Full says that Put holds every object there is.
+	// Full is set if Put holds all objects of the configuration.
 	Full   bool     `json:"full"`
 	Put    []Object `json:"put,omitempty"`
 	Delete []Key    `json:"delete,omitempty"`
 }
 
-// Apply returns the set after the update. It reports false, and returns the set
-// as it was, when the update is older than the set or skips a revision: a
-// process never goes back and never guesses what it missed.
+// Apply returns the set after the update. If the update is not newer than the set
+// or starts at a later revision, it returns the set unchanged and false, so that a
+// process neither goes back to an older revision nor misses a change.
 func (s *Set) Apply(update Update) (*Set, bool) {
 	if !s.revision.Before(update.To) {
 		return s, false
@@ -37,23 +37,23 @@
 	return newSet(update.To, next), true
 }
 
-// Full returns an update that carries the whole set.
+// Full returns an update that holds the whole set.
 func (s *Set) Full() Update {
 	return Update{To: s.revision, Full: true, Put: s.Objects()}
 }
 
-// Change is what an operator asks for.
+// Change is a change of the configuration that an operator requests.
 type Change struct {
-	// ID makes a change that is sent again the same change.
+	// ID identifies the change when it is sent again.
 	ID string `json:"id"`
-	// Base is the revision that the operator saw.
+	// Base is the revision on which the operator based the change.
 	Base   Revision `json:"base"`
 	By     string   `json:"by"`
 	Put    []Object `json:"put,omitempty"`
 	Delete []Key    `json:"delete,omitempty"`
 }
 
-// Keys returns every key that the change touches.
+// Keys returns the keys of all objects that the change affects.
 func (c Change) Keys() []Key {
 	keys := append([]Key(nil), c.Delete...)
 	for _, object := range c.Put {
@@ -62,9 +62,9 @@
 	return keys
 }
 
-// Difference lists what the wanted objects would change in the set; objects
-// that already say the same are left out. With prune, operators' objects that
-// are not wanted are deleted.
+// Difference returns the objects to put and the keys to delete so that the set
+// holds the wanted objects. It omits objects that are already in the set. With
+// prune, it deletes all other objects that operators write.
 func (s *Set) Difference(wanted []Object, prune bool) ([]Object, []Key) {
 	var put []Object
 	keep := map[Key]bool{}
@@ -88,13 +88,13 @@
 	return put, remove
 }
 
-// Written reports whether operators write objects of this kind.
+// Written reports whether objects of this kind are written by operators.
 func (k Kind) Written() bool {
 	return k != KindAssignment && k != KindAuthority
 }
 
-// With returns the set as it would be with other objects, at the next
-// revision, for checks and previews.
+// With returns the set with the given changes at the next revision, for validation
+// and previews.
 func (s *Set) With(put []Object, remove []Key) *Set {
 	next := Revision{Term: s.revision.Term, Index: s.revision.Index + 1}
 	changed, _ := s.Apply(Update{From: s.revision, To: next, Put: put, Delete: remove})
--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -13,20 +13,21 @@
 	"github.com/moorspool/moorspool/src/fault"
 )
 
-// The control calls' times.
+// Timeouts of control calls.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	controlTimeout = time.Second
 )
 
-// Control asks engines for reports and sends them orders; it is safe for concurrent use.
+// Control is a client of the engines' control interface: it fetches reports and
+// sends orders. It is safe for concurrent use.
 type Control struct {
 	client *client.Client
 	count  func(in, out int)
 }
 
-// NewControl returns a client of the engines' control interface; count is told
-// the bytes of each exchange.
+// NewControl returns a client of the engines' control interface. It calls count
+// with the bytes received and sent in each exchange.
 func NewControl(cut *fault.Cut, count func(in, out int)) (*Control, error) {
 	c, err := client.NewClient(
 		client.WithDialer(cut.NewDialer()),
@@ -35,13 +36,13 @@
 		client.WithWriteTimeout(controlTimeout),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "making the engines' client")
+		return nil, errors.Wrap(err, "creating the engine client")
 	}
 	return &Control{client: c, count: count}, nil
 }
 
-// Report asks an engine for its report. An engine that has nothing new since the
-// last one that the asker has tells only its load.
+// Report fetches an engine's report. If nothing but the load has changed since
+// the report last, the engine sends only its load and the rest is copied from last.
 func (c *Control) Report(ctx context.Context, address string, last Report) (Report, error) {
 	var report Report
 	err := c.exchange(ctx, consts.MethodGet, "http://"+address+PathReport, last.Known(), nil, &report)
@@ -52,7 +53,7 @@
 	return report, err
 }
 
-// Order sends an order. After an error the order may or may not have been taken.
+// Order sends an order. After an error the engine may or may not have accepted it.
 func (c *Control) Order(ctx context.Context, address string, order Order) (OrderReply, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -63,25 +64,25 @@
 	return reply, err
 }
 
-func (c *Control) exchange(ctx context.Context, method, url, known string, body []byte, reply any) error {
+func (c *Control) exchange(ctx context.Context, method, url, knownReport string, body []byte, reply any) error {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
 	defer protocol.ReleaseResponse(response)
 	request.SetMethod(method)
 	request.SetRequestURI(url)
-	if known != "" {
-		request.Header.Set(HeaderKnown, known)
+	if knownReport != "" {
+		request.Header.Set(HeaderKnown, knownReport)
 	}
 	if body != nil {
 		request.Header.SetContentTypeBytes([]byte("application/json"))
 		request.SetBody(body)
 	}
 	if err := c.client.Do(ctx, request, response); err != nil {
-		return errors.Wrap(err, "asking an engine")
+		return errors.Wrap(err, "calling an engine")
 	}
 	c.count(len(response.Header.Header())+len(response.Body()), len(request.Header.Header())+len(body))
 	if status := response.StatusCode(); status != consts.StatusOK {
 		return errors.Errorf("the engine answered %d", status)
 	}
-	return errors.Wrap(json.Unmarshal(response.Body(), reply), "decoding an engine's answer")
+	return errors.Wrap(json.Unmarshal(response.Body(), reply), "decoding an engine's response")
 }
--- a/src/engine/doc.go
+++ b/src/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine is the one place that speaks the model engines' protocol:
-// completions as server-sent events, fenced orders, and reports.
+// Package engine implements the protocol of the model engines: completions as
+// server-sent events, orders with fencing, and status reports.
 package engine
--- a/src/engine/message.go
+++ b/src/engine/message.go
@@ -6,7 +6,7 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// The engines' paths and headers.
+// Paths and headers of the engines' protocol.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -21,33 +21,35 @@
 	HeaderNotRun     = "X-Not-Run"
 	HeaderLoad       = "X-Load"
 	HeaderLeaving    = "X-Leaving"
-	// HeaderKnown names the incarnation and version of the report that the asker has.
+	// HeaderKnown holds the incarnation and version of the newest report that the
+	// caller has.
 	HeaderKnown = "X-Report-Known"
 )
 
-// EndMark is the data of the last event of a whole stream.
+// EndMark is the data of the last event of a complete stream.
 const EndMark = "[DONE]"
 
-// Action says what an order asks for.
+// Action is the kind of an order.
 type Action string
 
-// The actions.
+// The actions of orders.
 const (
 	ActionLoad   Action = "load"
 	ActionUnload Action = "unload"
-	// ActionFence asks for nothing; once taken, no earlier order can run any more.
+	// ActionFence changes nothing itself. Once the engine has accepted it, it
+	// rejects all earlier orders.
 	ActionFence Action = "fence"
 )
 
-// Weights names what an order or a copy is about: a model, or an adapter on it.
+// Weights identifies the weights of a model or, if Adapter is set, of an adapter.
 type Weights struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
 }
 
-// Order commands an engine. Epoch and Seq fence it: an engine that checks takes
-// only orders past the newest it has seen.
+// Order is a command to an engine. Epoch and Seq are its fencing token: an engine
+// that checks orders accepts only those that are newer than any it has seen.
 type Order struct {
 	Epoch       uint64       `json:"epoch"`
 	Seq         uint64       `json:"seq"`
@@ -57,10 +59,10 @@
 	Bytes       config.Bytes `json:"bytes"`
 }
 
-// OrderOutcome says what an engine did with an order.
+// OrderOutcome is the result of an order.
 type OrderOutcome string
 
-// The outcomes.
+// The outcomes of orders.
 const (
 	OrderTaken    OrderOutcome = "taken"
 	OrderStale    OrderOutcome = "stale"
@@ -68,13 +70,13 @@
 	OrderInvalid  OrderOutcome = "invalid"
 )
 
-// OrderReply answers an order.
+// OrderReply is the response to an order.
 type OrderReply struct {
 	Outcome OrderOutcome `json:"outcome"`
 	Reason  string       `json:"reason,omitempty"`
 }
 
-// CopyState is how far a copy is.
+// CopyState is the state of a copy on an accelerator.
 type CopyState string
 
 // The states of a copy.
@@ -85,7 +87,7 @@
 	CopyFailed    CopyState = "failed"
 )
 
-// Copy is weights on an accelerator, as the engine reports it.
+// Copy is a copy of weights on an accelerator, as the engine reports it.
 type Copy struct {
 	Weights     Weights      `json:"weights"`
 	Accelerator int          `json:"accelerator"`
@@ -93,7 +95,7 @@
 	State       CopyState    `json:"state"`
 }
 
-// Known returns the value of HeaderKnown for a report, "" for none.
+// Known returns the value of HeaderKnown for a report, "" if the report is empty.
 func (r Report) Known() string {
 	if r.Incarnation == "" {
 		return ""
@@ -101,18 +103,20 @@
 	return r.Incarnation + "/" + strconv.FormatUint(r.Version, 10)
 }
 
-// Report is what an engine says of itself; it may be older than it looks.
+// Report is an engine's status. It may arrive late, after a newer one.
 type Report struct {
 	Host string `json:"host"`
 	// Incarnation differs after every restart of the engine.
 	Incarnation string `json:"incarnation"`
-	// Seq grows with every report of an incarnation.
+	// Seq increases with every report of an incarnation.
 	Seq uint64 `json:"seq"`
-	// Version grows whenever something but the load may have changed.
+	// Version increases whenever anything other than the load may have changed.
 	Version uint64 `json:"version"`
-	// Same says that only the load is told: Version is the one that was asked with.
+	// Same is set if the report holds only the load, since Version is still the
+	// one in the request.
 	Same bool `json:"same,omitempty"`
-	// Epoch and LastOrder are the newest order that the engine took or refused as stale against.
+	// Epoch and LastOrder identify the newest order that the engine accepted. It
+	// rejects older orders as stale.
 	Epoch     uint64         `json:"epoch"`
 	LastOrder uint64         `json:"lastOrder"`
 	Leaving   bool           `json:"leaving,omitempty"`
@@ -120,8 +124,9 @@
 	Copies    []Copy         `json:"copies,omitempty"`
 	Running   int            `json:"running"`
 	Waiting   int            `json:"waiting"`
-	// Slots is how many requests one accelerator runs at once at full speed.
+	// Slots is the number of requests that one accelerator runs concurrently at
+	// full speed.
 	Slots int `json:"slots"`
-	// Breaches counts the times that memory was overcommitted.
+	// Breaches is the number of times that memory was overcommitted.
 	Breaches int `json:"breaches"`
 }
--- a/src/engine/stream.go
+++ b/src/engine/stream.go
@@ -16,10 +16,10 @@
 	"github.com/moorspool/moorspool/src/fault"
 )
 
-// maxConns bounds the connections to one engine.
+// maxConns limits the connections to one engine.
 const maxConns = 4096
 
-// Request is a completion on its way to an engine; its body asks for a stream.
+// Request is a completion request to an engine. Its body requests a stream.
 type Request struct {
 	Path       string
 	Body       []byte
@@ -27,63 +27,63 @@
 	Priority   int
 	Deadline   time.Duration
 	ResumeFrom uint64
-	// Once says that the request may not be repeated, to a gateway.
+	// Once tells a gateway that the request must not be repeated.
 	Once bool
 	// Trace is the traceparent header, "" for none.
 	Trace string
 }
 
-// Failure says why an engine gave no answer.
+// Failure is the error of a request that an engine did not answer.
 type Failure struct {
-	// NotRun is true only if the request certainly did not run.
+	// NotRun is set only if the request certainly did not run.
 	NotRun bool
-	// Leaving is the engine's own word that it is leaving.
+	// Leaving is set if the engine reported that it is shutting down.
 	Leaving bool
-	// Missing says that the engine does not hold the model or adapter.
+	// Missing is set if the engine does not have the model or adapter.
 	Missing bool
-	// Busy says that the engine has no place now.
+	// Busy is set if the engine has no free slot.
 	Busy   bool
 	Status int
 	cause  error
 }
 
-// Error returns why.
+// Error returns the message of the cause.
 func (f *Failure) Error() string { return f.cause.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Load is what an engine says of its load with an answer.
+// Load is the load and state that an engine reports in the headers of a response.
 type Load struct {
 	Running int
 	Waiting int
 	Known   bool
-	// Leaving is the host's own word that it is leaving.
+	// Leaving is set if the host reported that it is shutting down.
 	Leaving bool
 }
 
-// Token is one event of a stream: an id that counts up from 1, and its data.
+// Token is one event of a stream: its id, counted from 1, and its data.
 type Token struct {
 	ID   uint64
 	Data []byte
 }
 
-// ErrGivenUp means that the other side ended a stream early and said so.
+// ErrGivenUp means that the server ended a stream early with an error event.
 var ErrGivenUp = errors.New("the stream was given up")
 
-// eventError is the type of the event that ends a stream that was given up.
+// eventError is the type of the event by which a server ends a stream early.
 const eventError = "error"
 
 // ErrBroken means that a stream ended without its end mark.
 var ErrBroken = errors.New("the stream broke before its end")
 
-// Streams opens completions on engines; it is safe for concurrent use.
+// Streams opens completion streams on engines. It is safe for concurrent use.
 type Streams struct {
 	client *dial.Client
 }
 
-// NewStreams returns a client of the engines' completions; tokenWait bounds
-// each silence of an engine.
+// NewStreams returns a client for completion streams. tokenWait limits the time
+// in which an engine sends nothing.
 func NewStreams(cut *fault.Cut, tokenWait time.Duration) (*Streams, error) {
 	c, err := dial.New(cut, dial.Options{
 		Dial:   dialTimeout,
@@ -96,7 +96,8 @@
 	return &Streams{client: c}, err
 }
 
-// Stream is one answer; it is used by one goroutine, but Abort may come from another.
+// Stream is the answer to one request. It is used by one goroutine, but Abort may
+// be called by another.
 type Stream struct {
 	client   *dial.Client
 	request  *protocol.Request
@@ -104,15 +105,15 @@
 	reader   *sse.Reader
 	event    *sse.Event
 	load     Load
-	whole    bool
-	// ended is set when the other side has said all it will say.
+	complete bool
+	// ended is set when the server has sent its last event.
 	ended bool
 }
 
-// Open sends a request; its error is always a Failure.
+// Open sends a request. Its error is always a *Failure.
 func (s *Streams) Open(ctx context.Context, address string, r Request) (*Stream, error) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
-	fill(request, address, r)
+	fillRequest(request, address, r)
 	if err := s.client.Do(ctx, request, response); err != nil {
 		protocol.ReleaseRequest(request)
 		protocol.ReleaseResponse(response)
@@ -120,7 +121,7 @@
 	}
 	stream := &Stream{client: s.client, request: request, response: response, load: LoadOf(response)}
 	if status := response.StatusCode(); status != consts.StatusOK {
-		failure := refusal(response)
+		failure := responseFailure(response)
 		stream.Close()
 		return nil, failure
 	}
@@ -134,7 +135,7 @@
 	return stream, nil
 }
 
-func fill(request *protocol.Request, address string, r Request) {
+func fillRequest(request *protocol.Request, address string, r Request) {
 	request.SetMethod(consts.MethodPost)
 	request.SetRequestURI("http://" + address + r.Path)
 	request.Header.SetContentTypeBytes([]byte("application/json"))
@@ -157,9 +158,9 @@
 	request.SetBodyRaw(r.Body)
 }
 
-func refusal(response *protocol.Response) *Failure {
+func responseFailure(response *protocol.Response) *Failure {
 	status := response.StatusCode()
-	const shown = 300
+	const maxErrorBody = 300
 	body := response.Body()
 	return &Failure{
 		NotRun:  response.Header.Get(HeaderNotRun) == "true",
@@ -167,44 +168,45 @@
 		Missing: status == consts.StatusNotFound,
 		Busy:    status == consts.StatusTooManyRequests,
 		Status:  status,
-		cause:   errors.Errorf("the engine answered %d %s", status, body[:min(len(body), shown)]),
+		cause:   errors.Errorf("the engine answered %d %s", status, body[:min(len(body), maxErrorBody)]),
 	}
 }
 
-// LoadOf returns what an answer's headers say of its host.
+// LoadOf returns the load and state in the headers of a response.
 func LoadOf(response *protocol.Response) Load {
 	load := ParseLoad(response.Header.Get(HeaderLoad))
 	load.Leaving = response.Header.Get(HeaderLeaving) == "true"
 	return load
 }
 
-// FormatLoad writes a load as the engines' header has it.
+// FormatLoad formats a load as the value of HeaderLoad.
 func FormatLoad(running, waiting int) string {
 	return strconv.Itoa(running) + "/" + strconv.Itoa(waiting)
 }
 
-// ParseLoad reads what FormatLoad wrote; anything else is not known.
-func ParseLoad(word string) Load {
-	first, second, found := strings.Cut(word, "/")
+// ParseLoad parses the output of FormatLoad. Known is false for anything else.
+func ParseLoad(value string) Load {
+	first, second, found := strings.Cut(value, "/")
 	running, errRunning := strconv.Atoi(first)
 	waiting, errWaiting := strconv.Atoi(second)
 	return Load{Running: running, Waiting: waiting, Known: found && errRunning == nil && errWaiting == nil}
 }
 
-// Load returns the engine's load when it began to answer.
+// Load returns the load of the engine when it started the answer.
 func (s *Stream) Load() Load { return s.load }
 
-// Next returns the next token. It returns io.EOF after the end mark and
-// ErrBroken when the stream ended without one. The data is valid until the next call.
+// Next returns the next token, whose data is valid until the next call. It returns
+// io.EOF after the end mark, ErrBroken if the stream ended without one, and
+// ErrGivenUp if the server sent an error event.
 func (s *Stream) Next() (Token, error) {
-	if s.whole {
+	if s.complete {
 		return Token{}, io.EOF
 	}
 	if err := s.reader.Read(s.event); err != nil {
 		return Token{}, errors.Wrap(ErrBroken, err.Error())
 	}
 	if string(s.event.Data) == EndMark {
-		s.whole, s.ended = true, true
+		s.complete, s.ended = true, true
 		return Token{}, io.EOF
 	}
 	if s.event.Type == eventError {
@@ -218,10 +220,11 @@
 	return Token{ID: id, Data: s.event.Data}, nil
 }
 
-// Abort ends the answer at once, from any goroutine.
+// Abort ends the stream at once. It may be called from any goroutine.
 func (s *Stream) Abort() { s.client.Abort(s.response) }
 
-// Close gives the answer's memory back. The connection is reused only after a whole answer.
+// Close releases the stream's resources. The connection is reused only if the
+// server had sent its last event.
 func (s *Stream) Close() {
 	if !s.ended && s.reader != nil {
 		s.Abort()
