--- a/src/cli/apply.go
+++ b/src/cli/apply.go
@@ -12,14 +12,15 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of apply.
+// Attempts and timing of apply.
 const (
-	unknownTries = 10
-	unknownPause = 500 * time.Millisecond
-	forcePoll    = 20 * time.Millisecond
-	forceLimit   = 30 * time.Second
-	// silentAfter is how long a process may be unheard of before it is not waited for.
-	silentAfter = 8 * time.Second
+	applyAttempts       = 10
+	applyRetryDelay     = 500 * time.Millisecond
+	inForcePollInterval = 20 * time.Millisecond
+	inForceTimeout      = 30 * time.Second
+	// staleAfter is the time since its last heartbeat after which apply no longer
+	// waits for a process.
+	staleAfter = 8 * time.Second
 )
 
 type applyCommand struct {
@@ -31,23 +32,23 @@
 	ID     string `long:"id" description:"id of the change; give the same one to send a change again"`
 }
 
-// applied is what apply prints.
-type applied struct {
+// applyResult is the output of apply.
+type applyResult struct {
 	Outcome  wire.Outcome    `json:"outcome" yaml:"outcome"`
 	ID       string          `json:"id" yaml:"id"`
 	Revision config.Revision `json:"revision" yaml:"revision"`
 	Put      int             `json:"put" yaml:"put"`
 	Delete   int             `json:"delete" yaml:"delete"`
-	// InForce is the time from the request until every process acted on it.
+	// InForce is the time from the request until the change was in force in all processes.
 	InForce   string `json:"inForce,omitempty" yaml:"inForce,omitempty"`
 	Processes int    `json:"processes,omitempty" yaml:"processes,omitempty"`
 }
 
-// Execute applies files.
+// Execute applies the configuration files.
 func (c *applyCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
-	set, change, err := prepare(ctx, cl, c.File, c.Prune)
+	set, change, err := prepareChange(ctx, cl, c.File, c.Prune)
 	if err != nil {
 		return err
 	}
@@ -59,35 +60,36 @@
 		fmt.Println("nothing to change; revision", revisionText(set.Revision()))
 		return nil
 	}
-	began := time.Now()
-	reply, err := send(ctx, cl, wire.ApplyRequest{Change: change, DryRun: c.DryRun})
+	start := time.Now()
+	reply, err := sendChange(ctx, cl, wire.ApplyRequest{Change: change, DryRun: c.DryRun})
 	if err != nil {
 		return err
 	}
-	result := applied{Outcome: reply.Outcome, ID: change.ID, Revision: reply.Revision, Put: len(change.Put), Delete: len(change.Delete)}
+	result := applyResult{Outcome: reply.Outcome, ID: change.ID, Revision: reply.Revision, Put: len(change.Put), Delete: len(change.Delete)}
 	if c.Wait && !c.DryRun {
-		count, err := awaitForce(ctx, cl, reply.Revision)
+		count, err := awaitInForce(ctx, cl, reply.Revision)
 		if err != nil {
 			return err
 		}
-		result.InForce = time.Since(began).Round(time.Millisecond).String()
+		result.InForce = time.Since(start).Round(time.Millisecond).String()
 		result.Processes = count
 	}
 	return show(result, result.text)
 }
 
-func (a applied) text() {
+func (a applyResult) text() {
 	fmt.Printf("%s as revision %s: %d put, %d deleted (change %s)\n", a.Outcome, revisionText(a.Revision), a.Put, a.Delete, a.ID)
 	if a.InForce != "" {
 		fmt.Printf("in force in %d processes after %s\n", a.Processes, a.InForce)
 	}
 }
 
-// prepare reads and checks files and returns the change that they ask for.
-func prepare(ctx context.Context, cl *client, path string, prune bool) (*config.Set, config.Change, error) {
+// prepareChange reads and validates files. It returns the current configuration
+// and the change that leads to the files' content.
+func prepareChange(ctx context.Context, cl *client, path string, prune bool) (*config.Set, config.Change, error) {
 	sources, err := config.ReadFolder(path)
 	if err != nil {
-		return nil, config.Change{}, refusedFindings(err)
+		return nil, config.Change{}, refusedError(err)
 	}
 	set, err := cl.configuration(ctx)
 	if err != nil {
@@ -97,34 +99,35 @@
 	var wanted []config.Object
 	for _, source := range sources {
 		key := source.Object().Key
-		if _, twice := places[key]; twice {
-			return nil, config.Change{}, refusedFindings(config.Findings{source.Place().At("name", key.String()+" is written twice")})
+		if _, duplicate := places[key]; duplicate {
+			return nil, config.Change{}, refusedError(config.Findings{source.Place().At("name", key.String()+" is written twice")})
 		}
 		places[key] = source.Place()
 		wanted = append(wanted, source.Object())
 	}
 	put, remove := set.Difference(wanted, prune)
 	if findings := config.Check(set.With(put, remove), places); len(findings) > 0 {
-		return nil, config.Change{}, refusedFindings(findings.Err())
+		return nil, config.Change{}, refusedError(findings.Err())
 	}
 	return set, config.Change{Base: set.Revision(), Put: put, Delete: remove}, nil
 }
 
-func refusedFindings(err error) error {
+func refusedError(err error) error {
 	return exitWith(ExitRefused, "%v", err)
 }
 
-// send asks for a change, again with the same id as long as the answer is unknown.
-func send(ctx context.Context, cl *client, request wire.ApplyRequest) (wire.ApplyReply, error) {
+// sendChange requests a change. While the outcome is unknown it repeats the
+// request, which has the same id each time.
+func sendChange(ctx context.Context, cl *client, request wire.ApplyRequest) (wire.ApplyReply, error) {
 	var reply wire.ApplyReply
 	var err error
-	for i := 0; i < unknownTries; i++ {
+	for i := 0; i < applyAttempts; i++ {
 		reply = wire.ApplyReply{}
-		err = cl.controlNode(ctx, wire.MethodApply, request, &reply)
+		err = cl.callControlNode(ctx, wire.MethodApply, request, &reply)
 		if err == nil && reply.Outcome != wire.Unknown && reply.Outcome != wire.Unavailable {
 			break
 		}
-		time.Sleep(unknownPause)
+		time.Sleep(applyRetryDelay)
 	}
 	if err != nil {
 		return reply, exitWith(ExitUnavailable, "%v", err)
@@ -140,23 +143,24 @@
 		return reply, exitWith(ExitConflict, "%s", text)
 	case wire.Refused:
 		if len(reply.Findings) > 0 {
-			return reply, refusedFindings(config.Findings(reply.Findings).Err())
+			return reply, refusedError(config.Findings(reply.Findings).Err())
 		}
 		return reply, exitWith(ExitRefused, "refused: %s", reply.Reason)
 	}
 	return reply, exitWith(ExitUnavailable, "%s: %s; send it again with --id %s", reply.Outcome, reply.Reason, request.Change.ID)
 }
 
-// awaitForce asks every process that control nodes hear until all act on the revision.
-func awaitForce(ctx context.Context, cl *client, revision config.Revision) (int, error) {
-	until := time.Now().Add(forceLimit)
+// awaitInForce polls the processes that have recently sent a heartbeat to a control
+// node, until the revision is in force in all of them. It returns their number.
+func awaitInForce(ctx context.Context, cl *client, revision config.Revision) (int, error) {
+	deadline := time.Now().Add(inForceTimeout)
 	nodes, err := cl.nodes(ctx)
 	if err != nil {
 		return 0, err
 	}
 	waiting := map[string]string{}
 	for _, node := range nodes {
-		if time.Since(node.SeenAt) < silentAfter && !node.Leaving {
+		if time.Since(node.SeenAt) < staleAfter && !node.Leaving {
 			waiting[node.Node] = node.Address
 		}
 	}
@@ -164,7 +168,7 @@
 	for len(waiting) > 0 {
 		for name, address := range waiting {
 			var status wire.Status
-			err := cl.process(ctx, address, wire.MethodStatus, wire.Empty{}, &status)
+			err := cl.callProcess(ctx, address, wire.MethodStatus, wire.Empty{}, &status)
 			if err == nil && !status.Revision.Before(revision) {
 				delete(waiting, name)
 			}
@@ -172,10 +176,10 @@
 		if len(waiting) == 0 {
 			break
 		}
-		if time.Now().After(until) || ctx.Err() != nil {
+		if time.Now().After(deadline) || ctx.Err() != nil {
 			return count, exitWith(ExitFailed, "accepted, but not yet in force in %d processes; see moorspool status", len(waiting))
 		}
-		time.Sleep(forcePoll)
+		time.Sleep(inForcePollInterval)
 	}
 	return count, nil
 }
@@ -185,11 +189,11 @@
 	Prune bool   `long:"prune" description:"count objects that the files lack as deleted"`
 }
 
-// Execute shows what apply would change.
+// Execute prints what apply would change.
 func (c *diffCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
-	set, change, err := prepare(ctx, cl, c.File, c.Prune)
+	set, change, err := prepareChange(ctx, cl, c.File, c.Prune)
 	if err != nil {
 		return err
 	}
@@ -213,14 +217,14 @@
 	File string `short:"f" long:"file" required:"yes" description:"file or folder of YAML files"`
 }
 
-// Execute checks files as a whole.
+// Execute validates the files together, without a control node.
 func (c *checkCommand) Execute([]string) error {
 	sources, err := config.ReadFolder(c.File)
 	if err != nil {
-		return refusedFindings(err)
+		return refusedError(err)
 	}
 	if findings := config.CheckSources(sources); len(findings) > 0 {
-		return refusedFindings(findings.Err())
+		return refusedError(findings.Err())
 	}
 	fmt.Fprintf(os.Stdout, "%d objects are sound\n", len(sources))
 	return nil
--- a/src/cli/doc.go
+++ b/src/cli/doc.go
@@ -1,3 +1,3 @@
-// Package cli is the operators' command line. It speaks the administration API
-// of the control nodes and, for what concerns one process, that process's own.
+// Package cli is the command line of operators. It uses the administration API of
+// the control nodes, and the control protocol for calls to other processes.
 package cli
--- a/src/cli/hosts.go
+++ b/src/cli/hosts.go
@@ -9,7 +9,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// planners returns each zone's planner's address.
+// planners returns the authority objects, which hold the address of each zone's planner.
 func planners(ctx context.Context, cl *client) ([]config.Object, error) {
 	set, err := cl.configuration(ctx)
 	if err != nil {
@@ -25,7 +25,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute tells every planner; only the one whose zone has the host acts.
+// Execute sends the request to all planners. Only the planner of the host's zone
+// acts on it.
 func (c *drainCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
@@ -33,17 +34,17 @@
 	if err != nil {
 		return err
 	}
-	told := 0
+	reached := 0
 	for _, planner := range all {
 		request := wire.DrainRequest{Host: c.Args.Host, Undo: c.Undo}
-		if err := cl.process(ctx, planner.Authority.Address, wire.MethodDrain, request, nil); err == nil {
-			told++
+		if err := cl.callProcess(ctx, planner.Authority.Address, wire.MethodDrain, request, nil); err == nil {
+			reached++
 		}
 	}
-	if told == 0 {
+	if reached == 0 {
 		return exitWith(ExitUnavailable, "no planner could be reached; see moorspool status")
 	}
-	fmt.Printf("told %d planners; follow it with moorspool watch %s\n", told, c.Args.Host)
+	fmt.Printf("told %d planners; follow it with moorspool watch %s\n", reached, c.Args.Host)
 	return nil
 }
 
@@ -52,17 +53,17 @@
 	Prune bool   `long:"prune" description:"count objects that the files lack as deleted"`
 }
 
-// zonePlan is one planner's answer.
+// zonePlan is the plan of one zone's planner.
 type zonePlan struct {
 	Zone string         `json:"zone"`
 	Plan wire.PlanReply `json:"plan"`
 }
 
-// Execute shows what planners would do.
+// Execute prints what the planners would do.
 func (c *planCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
-	_, change, err := prepare(ctx, cl, c.File, c.Prune)
+	_, change, err := prepareChange(ctx, cl, c.File, c.Prune)
 	if err != nil {
 		return err
 	}
@@ -74,12 +75,12 @@
 	for _, planner := range all {
 		var reply wire.PlanReply
 		request := wire.PlanRequest{Put: change.Put, Delete: change.Delete}
-		if err := cl.process(ctx, planner.Authority.Address, wire.MethodPlan, request, &reply); err != nil {
+		if err := cl.callProcess(ctx, planner.Authority.Address, wire.MethodPlan, request, &reply); err != nil {
 			return exitWith(ExitUnavailable, "the planner of %s can't be reached: %v", planner.Key.Name, err)
 		}
 		plans = append(plans, zonePlan{Zone: planner.Key.Name, Plan: reply})
 	}
-	return show(plans, func() { table(func(w *tabwriter.Writer) { writePlans(w, plans) }) })
+	return show(plans, func() { printTable(func(w *tabwriter.Writer) { writePlans(w, plans) }) })
 }
 
 func writePlans(w *tabwriter.Writer, plans []zonePlan) {
@@ -101,11 +102,12 @@
 	} `positional-args:"yes"`
 }
 
-// Execute sets or heals a test's cut.
+// Execute sets the address prefixes from which a process is cut off in a test.
+// Without prefixes, it ends the cut.
 func (c *cutCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
-	err := cl.process(ctx, c.Address, wire.MethodCut, wire.CutRequest{Prefixes: c.Args.Prefixes}, nil)
+	err := cl.callProcess(ctx, c.Address, wire.MethodCut, wire.CutRequest{Prefixes: c.Args.Prefixes}, nil)
 	if err != nil {
 		return exitWith(ExitUnavailable, "the process at %s can't be cut: %v", c.Address, err)
 	}
--- a/src/cli/main.go
+++ b/src/cli/main.go
@@ -34,15 +34,15 @@
 	return &exitError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// globals are the options that every command has.
-type globals struct {
+// globalOptions are the options of all commands.
+type globalOptions struct {
 	ControlNodes string `long:"control-nodes" env:"MOORSPOOL_CONTROL_NODES" default:"127.0.0.1:7101" description:"administration addresses of the control nodes, with commas between"`
 	Output       string `short:"o" long:"output" default:"table" choice:"table" choice:"json" choice:"yaml" description:"form of the output"`
 }
 
-var options globals
+var options globalOptions
 
-// context returns what a command works with.
+// commandContext returns a context that ends at a signal and a client.
 func commandContext() (context.Context, context.CancelFunc, *client) {
 	ctx, cancel := process.UntilSignal()
 	return ctx, cancel, newClient(options.ControlNodes)
@@ -73,10 +73,10 @@
 	add("cut", "cut a process off from addresses (tests only)", "Makes a process that was started with faults: true lose all traffic to addresses with the given prefixes; none heals the cut.", &cutCommand{})
 	add("version", "print the version", "Prints the version.", &versionCommand{})
 	_, err := p.ParseArgs(arguments)
-	return report(err)
+	return exitCode(err)
 }
 
-func report(err error) int {
+func exitCode(err error) int {
 	if err == nil {
 		return ExitOK
 	}
--- a/src/cli/quarantine.go
+++ b/src/cli/quarantine.go
@@ -17,27 +17,28 @@
 	By   string `long:"by" env:"USER" default:"operator" description:"who asks"`
 }
 
-// Execute shows the contents under which backend servers ended, or lifts the quarantine of some.
+// Execute prints the request contents during which backend servers ended, or lifts
+// the quarantine of some.
 func (c *quarantineCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
 	if c.Lift != "" {
 		return c.lift(ctx, cl)
 	}
-	var known wire.Quarantine
-	if err := cl.process(ctx, c.At, wire.MethodQuarantineList, wire.Empty{}, &known); err != nil {
-		return exitWith(ExitUnavailable, "%s can't be asked: %v", c.At, err)
+	var quarantined wire.Quarantine
+	if err := cl.callProcess(ctx, c.At, wire.MethodQuarantineList, wire.Empty{}, &quarantined); err != nil {
+		return exitWith(ExitUnavailable, "%s can't be reached: %v", c.At, err)
 	}
-	return show(known.Entries, func() { printQuarantine(known) })
+	return show(quarantined.Entries, func() { printQuarantine(quarantined) })
 }
 
 func (c *quarantineCommand) lift(ctx context.Context, cl *client) error {
 	var reply wire.LiftReply
-	if err := cl.process(ctx, c.At, wire.MethodQuarantineLift, wire.LiftRequest{Digest: c.Lift, By: c.By}, &reply); err != nil {
-		return exitWith(ExitUnavailable, "%s can't be asked: %v", c.At, err)
+	if err := cl.callProcess(ctx, c.At, wire.MethodQuarantineLift, wire.LiftRequest{Digest: c.Lift, By: c.By}, &reply); err != nil {
+		return exitWith(ExitUnavailable, "%s can't be reached: %v", c.At, err)
 	}
 	if len(reply.Lifted) == 0 {
-		return exitWith(ExitFailed, "no content under suspicion has a digest that begins with %s", c.Lift)
+		return exitWith(ExitFailed, "no suspected content has a digest that begins with %s", c.Lift)
 	}
 	for _, digest := range reply.Lifted {
 		fmt.Println("let through again:", digest)
@@ -45,12 +46,12 @@
 	return nil
 }
 
-func printQuarantine(known wire.Quarantine) {
+func printQuarantine(quarantined wire.Quarantine) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	// A terminal that takes no more is not worth an error of its own.
+	// An error of writing to the terminal is ignored.
 	defer func() { _ = w.Flush() }()
 	fmt.Fprintln(w, "CONTENT\tENDS\tLAST\tBACKEND SERVERS")
-	for _, entry := range known.Entries {
+	for _, entry := range quarantined.Entries {
 		last := (time.Duration(entry.AgeMS) * time.Millisecond).Round(time.Second)
 		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\n", entry.Digest, len(entry.Ends), last, strings.Join(entry.Ends, " "))
 	}
--- a/src/cli/show.go
+++ b/src/cli/show.go
@@ -19,7 +19,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// show writes a value in the form that was asked for; text writes it for people.
+// show prints a value in the selected output format. text prints it for the default
+// format.
 func show(value any, text func()) error {
 	switch options.Output {
 	case "json":
@@ -27,7 +28,7 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	case "yaml":
-		// By way of JSON, so that names and units are the same in both.
+		// Converts from JSON, so that names and units are the same in both formats.
 		data, err := json.Marshal(value)
 		if err != nil {
 			return errors.Wrap(err, "encoding the output")
@@ -43,7 +44,7 @@
 	return nil
 }
 
-func table(write func(w *tabwriter.Writer)) {
+func printTable(write func(w *tabwriter.Writer)) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	write(w)
 	_ = w.Flush()
@@ -56,7 +57,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute shows objects.
+// Execute prints objects.
 func (c *getCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
@@ -78,7 +79,7 @@
 		return exitWith(ExitFailed, "there is no %s %s; see moorspool get %s", c.Args.Kind, c.Args.Name, c.Args.Kind)
 	}
 	return show(objects, func() {
-		table(func(w *tabwriter.Writer) {
+		printTable(func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "OBJECT\tREVISION\tBY")
 			for _, object := range objects {
 				fmt.Fprintf(w, "%s\t%s\t%s\n", object.Key, revisionText(object.Revision), object.By)
@@ -89,13 +90,13 @@
 
 type statusCommand struct{}
 
-// fleetStatus is what status shows.
+// fleetStatus is the output of status.
 type fleetStatus struct {
 	ControlNodes []wire.Status     `json:"controlNodes"`
 	Nodes        []wire.NodeStatus `json:"nodes"`
 }
 
-// Execute shows every process.
+// Execute prints the status of every process.
 func (c *statusCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
@@ -104,11 +105,11 @@
 		return err
 	}
 	all := fleetStatus{ControlNodes: cl.controlNodeStatuses(ctx), Nodes: nodes}
-	return show(all, func() { table(all.write) })
+	return show(all, func() { printTable(all.write) })
 }
 
-// shownWrite is from when on a write that is under way stands in the table.
-const shownWrite = time.Second
+// slowWriteThreshold is the duration from which the table shows a write in progress.
+const slowWriteThreshold = time.Second
 
 func (s fleetStatus) write(w *tabwriter.Writer) {
 	fmt.Fprintln(w, "PROCESS\tROLE\tZONE\tREVISION\tHEARD\tSTATE\tCPU\tRESIDENT\tANONYMOUS\tCONTROL B/S")
@@ -117,8 +118,8 @@
 		if !controlNode.ControlNode.CaughtUp {
 			state += ", not caught up"
 		}
-		if under := time.Duration(controlNode.ControlNode.WriteMS) * time.Millisecond; under >= shownWrite {
-			state += ", a write under way for " + under.String()
+		if writeDuration := time.Duration(controlNode.ControlNode.WriteMS) * time.Millisecond; writeDuration >= slowWriteThreshold {
+			state += ", a write under way for " + writeDuration.String()
 		}
 		fmt.Fprintf(w, "%s\tcontrol\t%s\t%s\tnow\t%s\t%s\n", controlNode.Node, controlNode.Zone, revisionText(controlNode.Revision), state, costText(controlNode.Control))
 	}
@@ -147,10 +148,10 @@
 	} `positional-args:"yes"`
 }
 
-// eventWait is how long one question for events may wait.
-const eventWait = time.Second
+// eventPollTimeout is how long a process may wait for new events before it answers.
+const eventPollTimeout = time.Second
 
-// Execute streams the events of all processes until a signal.
+// Execute prints the events of all processes until a signal.
 func (c *watchCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
@@ -174,7 +175,7 @@
 	}
 }
 
-// eventSource asks one process for events.
+// eventSource fetches events from one process.
 type eventSource func(ctx context.Context, request wire.EventsRequest) (wire.EventsReply, error)
 
 func eventSources(ctx context.Context, cl *client) ([]eventSource, error) {
@@ -191,22 +192,22 @@
 		})
 	}
 	for _, node := range nodes {
-		own := newClient(options.ControlNodes)
+		nodeClient := newClient(options.ControlNodes)
 		sources = append(sources, func(ctx context.Context, request wire.EventsRequest) (wire.EventsReply, error) {
 			var reply wire.EventsReply
-			err := own.process(ctx, node.Address, wire.MethodEvents, request, &reply)
+			err := nodeClient.callProcess(ctx, node.Address, wire.MethodEvents, request, &reply)
 			return reply, err
 		})
 	}
 	return sources, nil
 }
 
-func follow(ctx context.Context, ask eventSource, word string, out chan<- event.Event) {
-	request := wire.EventsRequest{About: word, Wait: config.Duration(eventWait), Newest: true}
+func follow(ctx context.Context, fetch eventSource, about string, out chan<- event.Event) {
+	request := wire.EventsRequest{About: about, Wait: config.Duration(eventPollTimeout), Newest: true}
 	for ctx.Err() == nil {
-		reply, err := ask(ctx, request)
+		reply, err := fetch(ctx, request)
 		if err != nil {
-			time.Sleep(eventWait)
+			time.Sleep(eventPollTimeout)
 			continue
 		}
 		request.Newest = false
@@ -243,7 +244,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute strings the kept events about one thing together.
+// Execute prints the stored events about a request, model or host in order of time.
 func (c *explainCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
@@ -253,7 +254,7 @@
 	}
 	events := collect(ctx, sources, c.Args.Word)
 	if len(events) == 0 {
-		return exitWith(ExitFailed, "no process remembers anything about %s; events are kept for a while only", c.Args.Word)
+		return exitWith(ExitFailed, "no process has events about %s; events are kept only for a limited time", c.Args.Word)
 	}
 	return show(events, func() {
 		for _, e := range events {
@@ -262,15 +263,15 @@
 	})
 }
 
-func collect(ctx context.Context, sources []eventSource, word string) []event.Event {
+func collect(ctx context.Context, sources []eventSource, about string) []event.Event {
 	var mu sync.Mutex
 	var all []event.Event
 	var wait sync.WaitGroup
-	for _, ask := range sources {
+	for _, fetch := range sources {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply, err := ask(ctx, wire.EventsRequest{About: word})
+			reply, err := fetch(ctx, wire.EventsRequest{About: about})
 			if err != nil {
 				return
 			}
--- a/src/cli/zone.go
+++ b/src/cli/zone.go
@@ -17,28 +17,28 @@
 	By    string `long:"by" env:"USER" default:"operator" description:"who asks"`
 }
 
-// Execute shows the drained availability zones, or drains one, or ends that.
+// Execute prints the drained availability zones, drains one, or ends its drain.
 func (c *zoneCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
 	switch {
 	case c.Drain != "" && c.End != "":
-		return exitWith(ExitUsage, "--drain and --end don't go together")
+		return exitWith(ExitUsage, "--drain and --end are mutually exclusive")
 	case c.Drain != "":
-		return c.order(ctx, cl, c.Drain, true)
+		return c.sendOrder(ctx, cl, c.Drain, true)
 	case c.End != "":
-		return c.order(ctx, cl, c.End, false)
+		return c.sendOrder(ctx, cl, c.End, false)
 	}
 	var drains wire.ZoneDrains
-	if err := cl.process(ctx, c.At, wire.MethodZoneDrains, wire.Empty{}, &drains); err != nil {
-		return exitWith(ExitUnavailable, "%s can't be asked: %v", c.At, err)
+	if err := cl.callProcess(ctx, c.At, wire.MethodZoneDrains, wire.Empty{}, &drains); err != nil {
+		return exitWith(ExitUnavailable, "%s can't be reached: %v", c.At, err)
 	}
 	return show(drains, func() { printZones(drains) })
 }
 
-func (c *zoneCommand) order(ctx context.Context, cl *client, zone string, drain bool) error {
+func (c *zoneCommand) sendOrder(ctx context.Context, cl *client, zone string, drain bool) error {
 	var reply wire.ZoneReply
-	if err := cl.process(ctx, c.At, wire.MethodZoneDrain, wire.ZoneDrainRequest{Zone: zone, Drain: drain, By: c.By}, &reply); err != nil {
+	if err := cl.callProcess(ctx, c.At, wire.MethodZoneDrain, wire.ZoneDrainRequest{Zone: zone, Drain: drain, By: c.By}, &reply); err != nil {
 		return exitWith(ExitUnavailable, "%s gave no answer, send the order again: %v", c.At, err)
 	}
 	switch {
@@ -55,7 +55,7 @@
 
 func printZones(drains wire.ZoneDrains) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	// A terminal that takes no more is not worth an error of its own.
+	// An error of writing to the terminal is ignored.
 	defer func() { _ = w.Flush() }()
 	fmt.Fprintln(w, "DRAINED ZONE\tAS OF ORDER")
 	for _, zone := range drains.Zones {
