--- a/src/capacity/doc.go
+++ b/src/capacity/doc.go
@@ -1,3 +1,4 @@
-// Package capacity measures what each role costs at several sizes, fits a line
-// and works out the letter's size in two years from it.
+// Package capacity measures the resource usage of each role at several sizes, fits
+// a line to the measurements, and extrapolates to the target installation size,
+// which is expected in two years.
 package capacity
--- a/src/capacity/main.go
+++ b/src/capacity/main.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// The marks in the page between which the table stands.
+// The marks in the page that enclose the generated tables.
 const (
 	markBegin = "<!-- slopes: written by make capacity -->\n"
 	markEnd   = "<!-- end of slopes -->\n"
@@ -19,11 +19,11 @@
 type Command struct {
 	CSV  string `long:"csv" default:"docs/capacity.csv" description:"where the samples go"`
 	Page string `long:"page" default:"docs/CAPACITY.md" description:"page whose tables are brought up to date"`
-	// Render only writes the page's tables from the samples of an earlier run.
+	// Render updates the page from the samples of an earlier run without measuring.
 	Render bool `long:"render" description:"only write the page's tables from the CSV file"`
 }
 
-// Execute measures the processes of a demo installation of kilima.
+// Execute measures the processes of a demo installation with profile kilima.
 func (c *Command) Execute([]string) error {
 	if c.Render {
 		samples, err := ReadCSV(c.CSV)
@@ -35,12 +35,12 @@
 	target := Target{
 		ControlNodes: []string{"127.0.1.20:7100", "127.0.2.20:7100", "127.0.3.20:7100"},
 		Planner:      "127.0.1.30:7100",
-		Entry:        "127.0.1.10:7100",
+		Gateway:      "127.0.1.10:7100",
 		Clients:      "127.0.1.10:8080",
 		Platform:     "127.0.99.2:9000",
 		Zone:         "dar-a",
 		Prefix:       "127.0.",
-		Own:          "127.0.98.1:7100",
+		StubPlanner:  "127.0.98.1:7100",
 		Zones:        []string{"dar-a", "dar-b", "dar-c"},
 	}
 	samples, err := NewMeter(target).Run(context.Background())
@@ -53,7 +53,7 @@
 	return UpdatePage(c.Page, samples)
 }
 
-// UpdatePage puts the tables of the samples between the page's marks.
+// UpdatePage writes the tables of the samples between the marks in the page.
 func UpdatePage(file string, samples []Sample) error {
 	page, err := os.ReadFile(file)
 	if err != nil {
--- a/src/capacity/measure.go
+++ b/src/capacity/measure.go
@@ -16,16 +16,16 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The measurements' sizes and times.
+// Timing and repetitions of the measurements.
 const (
-	callTimeout  = 10 * time.Second
-	silence      = 10 * time.Second
-	changesEach  = 30
-	changePause  = 40 * time.Millisecond
-	settleFor    = 1500 * time.Millisecond
-	idleFor      = 8 * time.Second
-	claimWorkers = 64
-	beatsEach    = 10
+	callTimeout       = 10 * time.Second
+	rpcTimeout        = 10 * time.Second
+	changesPerSize    = 30
+	changeInterval    = 40 * time.Millisecond
+	settleTime        = 1500 * time.Millisecond
+	idleTime          = 8 * time.Second
+	claimWorkers      = 64
+	heartbeatsPerSize = 10
 )
 
 var (
@@ -37,26 +37,27 @@
 	tokenSizes      = []int{16, 64, 256}
 )
 
-// Target names the processes to be measured by their control addresses.
+// Target holds the addresses of the processes to measure and of the stubs. The
+// processes are given by their control addresses.
 type Target struct {
 	ControlNodes []string
 	Planner      string
-	Entry        string
-	// Clients is where the gateway takes requests.
+	Gateway      string
+	// Clients is the address at which the gateway accepts client requests.
 	Clients string
-	// Platform is where the stub of the platform's list is to listen.
+	// Platform is the address for the stub of the platform's host list.
 	Platform string
 	// Zone is the planner's and gateway's availability zone.
 	Zone string
-	// Cluster's address prefix for stubs, such as "127.0.".
+	// Prefix is the address prefix for stubs, such as "127.0.".
 	Prefix string
-	// Own is the address at which the stub planners of other zones listen.
-	Own string
+	// StubPlanner is the address for the stub planner of another zone.
+	StubPlanner string
 	// Zones are all availability zones.
 	Zones []string
 }
 
-// Meter measures; it is used by one goroutine.
+// Meter takes the measurements. It is used by one goroutine.
 type Meter struct {
 	target       Target
 	cost         *rpc.Meter
@@ -75,17 +76,17 @@
 }
 
 func (m *Meter) client(address string, mux *rpc.Mux) *rpc.Client {
-	return rpc.NewClient(address, mux, m.cost, nil, silence)
+	return rpc.NewClient(address, mux, m.cost, nil, rpcTimeout)
 }
 
-func (m *Meter) add(name string, size int, value float64) {
+func (m *Meter) addSample(name string, size int, value float64) {
 	m.samples = append(m.samples, Sample{Series: name, Size: float64(size), Value: value})
 	fmt.Printf("%-50s %8d  %s\n", name, size, format(value))
 }
 
 // Run takes all measurements.
 func (m *Meter) Run(ctx context.Context) ([]Sample, error) {
-	for _, part := range []func(context.Context) error{m.subscribers, m.models, m.planner, m.entryIdle, m.entryRequests, m.claims} {
+	for _, part := range []func(context.Context) error{m.measureSubscribers, m.measureModels, m.measurePlanner, m.measureIdleGateway, m.measureGatewayRequests, m.measureClaims} {
 		if err := part(ctx); err != nil {
 			return m.samples, err
 		}
@@ -102,15 +103,16 @@
 	return status, errors.Wrap(c.Call(ctx, wire.MethodStatus, wire.Empty{}, &status), address)
 }
 
-// spent is what the control nodes had spent together at a moment.
-type spent struct {
+// resourceUsage is the resource usage of all control nodes: the sums of processor
+// time and bytes sent since their start, and the largest anonymous memory.
+type resourceUsage struct {
 	cpu       time.Duration
 	out       int64
 	anonymous config.Bytes
 }
 
-func (m *Meter) controlNodesSpent(ctx context.Context) (spent, error) {
-	var sum spent
+func (m *Meter) controlNodesUsage(ctx context.Context) (resourceUsage, error) {
+	var sum resourceUsage
 	for _, address := range m.target.ControlNodes {
 		status, err := m.status(ctx, address)
 		if err != nil {
@@ -123,7 +125,7 @@
 	return sum, nil
 }
 
-// apply sends a change and returns its revision.
+// apply applies a configuration change and returns its revision.
 func (m *Meter) apply(ctx context.Context, put []config.Object) (config.Revision, error) {
 	var reply wire.ApplyReply
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -139,20 +141,20 @@
 	return reply.Revision, nil
 }
 
-// subscriber is a stub process that takes the configuration stream.
+// subscriber is a stub process that subscribes to configuration updates.
 type subscriber struct {
-	client *rpc.Client
-	index  atomic.Uint64
-	seen   chan struct{}
+	client  *rpc.Client
+	index   atomic.Uint64
+	updated chan struct{}
 }
 
 func (m *Meter) subscribe(ctx context.Context, n int) (*subscriber, error) {
-	s := &subscriber{seen: make(chan struct{}, 1)}
+	s := &subscriber{updated: make(chan struct{}, 1)}
 	mux := rpc.NewMux()
 	mux.Handle(wire.MethodUpdate, rpc.Typed(func(_ context.Context, _ *rpc.Peer, update config.Update) (wire.Empty, error) {
 		s.index.Store(update.To.Index)
 		select {
-		case s.seen <- struct{}{}:
+		case s.updated <- struct{}{}:
 		default:
 		}
 		return wire.Empty{}, nil
@@ -168,19 +170,20 @@
 	return s, s.client.Call(ctx, wire.MethodWatchConfig, wire.ConfigRequest{From: update.To}, nil)
 }
 
-// await waits until the subscriber has a revision.
-func (s *subscriber) await(revision config.Revision) {
+// waitFor waits until the subscriber has received a revision.
+func (s *subscriber) waitFor(revision config.Revision) {
 	for s.index.Load() < revision.Index {
-		<-s.seen
+		<-s.updated
 	}
 }
 
-func label(n int) []config.Object {
+func labelObject(n int) []config.Object {
 	return []config.Object{{Key: config.Key{Kind: config.KindLabel, Name: fmt.Sprint("capacity-", n%8)}, Label: &config.Label{PointsTo: "load-0"}}}
 }
 
-// subscribers measures what a change costs by the number of processes that follow.
-func (m *Meter) subscribers(ctx context.Context) error {
+// measureSubscribers measures the cost of changes and heartbeats by the number of
+// subscribed processes.
+func (m *Meter) measureSubscribers(ctx context.Context) error {
 	if _, err := m.apply(ctx, modelObjects(0, 1, m.target.Zones)); err != nil {
 		return err
 	}
@@ -193,11 +196,11 @@
 			}
 			all = append(all, s)
 		}
-		time.Sleep(settleFor)
-		if err := m.changes(ctx, size, all); err != nil {
+		time.Sleep(settleTime)
+		if err := m.measureChanges(ctx, size, all); err != nil {
 			return err
 		}
-		if err := m.heartbeats(ctx, size, all); err != nil {
+		if err := m.measureHeartbeats(ctx, size, all); err != nil {
 			return err
 		}
 	}
@@ -207,40 +210,41 @@
 	return nil
 }
 
-// during returns what the control nodes spent while do ran, less what they spend idle.
-func (m *Meter) during(ctx context.Context, do func() error) (spent, error) {
+// usageDuring returns the resource usage of the control nodes while do runs. Their
+// processor time when idle is subtracted.
+func (m *Meter) usageDuring(ctx context.Context, do func() error) (resourceUsage, error) {
 	idle, err := m.idleShare(ctx)
 	if err != nil {
-		return spent{}, err
+		return resourceUsage{}, err
 	}
-	before, err := m.controlNodesSpent(ctx)
+	before, err := m.controlNodesUsage(ctx)
 	if err != nil {
-		return spent{}, err
+		return resourceUsage{}, err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := do(); err != nil {
-		return spent{}, err
+		return resourceUsage{}, err
 	}
-	after, err := m.controlNodesSpent(ctx)
-	after.cpu -= before.cpu + time.Duration(idle*float64(time.Since(began)))
+	after, err := m.controlNodesUsage(ctx)
+	after.cpu -= before.cpu + time.Duration(idle*float64(time.Since(start)))
 	after.out -= before.out
 	return after, err
 }
 
-func (m *Meter) changes(ctx context.Context, size int, all []*subscriber) error {
+func (m *Meter) measureChanges(ctx context.Context, size int, all []*subscriber) error {
 	var times []time.Duration
-	cost, err := m.during(ctx, func() error {
-		for i := 0; i < changesEach; i++ {
+	cost, err := m.usageDuring(ctx, func() error {
+		for i := 0; i < changesPerSize; i++ {
 			sent := time.Now()
-			revision, err := m.apply(ctx, label(i+size))
+			revision, err := m.apply(ctx, labelObject(i+size))
 			if err != nil {
 				return err
 			}
 			for _, s := range all {
-				s.await(revision)
+				s.waitFor(revision)
 			}
 			times = append(times, time.Since(sent))
-			time.Sleep(changePause)
+			time.Sleep(changeInterval)
 		}
 		return nil
 	})
@@ -248,50 +252,51 @@
 		return err
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
-	m.add("control: time in force, p99", size, ms(times[len(times)*99/100]))
-	m.add("control: bytes out for one change", size, float64(cost.out)/changesEach)
-	m.add("control: processor time for one change, all three", size, ms(cost.cpu)/changesEach)
-	m.add("control: anonymous memory, largest of three", size, mib(cost.anonymous))
+	m.addSample("control: time in force, p99", size, ms(times[len(times)*99/100]))
+	m.addSample("control: bytes out for one change", size, float64(cost.out)/changesPerSize)
+	m.addSample("control: processor time for one change, all three", size, ms(cost.cpu)/changesPerSize)
+	m.addSample("control: anonymous memory, largest of three", size, mib(cost.anonymous))
 	return nil
 }
 
-// idleShare is the processor share of the idle control nodes together.
+// idleShare returns the processor share of all control nodes together when idle.
 func (m *Meter) idleShare(ctx context.Context) (float64, error) {
-	before, err := m.controlNodesSpent(ctx)
+	before, err := m.controlNodesUsage(ctx)
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(settleFor)
-	after, err := m.controlNodesSpent(ctx)
-	return (after.cpu - before.cpu).Seconds() / settleFor.Seconds(), err
+	time.Sleep(settleTime)
+	after, err := m.controlNodesUsage(ctx)
+	return (after.cpu - before.cpu).Seconds() / settleTime.Seconds(), err
 }
 
-func (m *Meter) heartbeats(ctx context.Context, size int, all []*subscriber) error {
-	cost, err := m.during(ctx, func() error {
-		for n := 0; n < beatsEach; n++ {
-			beatAll(ctx, all)
+func (m *Meter) measureHeartbeats(ctx context.Context, size int, all []*subscriber) error {
+	cost, err := m.usageDuring(ctx, func() error {
+		for n := 0; n < heartbeatsPerSize; n++ {
+			sendHeartbeats(ctx, all)
 		}
 		return nil
 	})
-	m.add("control: processor time for 100 heartbeats", size, ms(cost.cpu)/float64(beatsEach*size)*100)
+	m.addSample("control: processor time for 100 heartbeats", size, ms(cost.cpu)/float64(heartbeatsPerSize*size)*100)
 	return err
 }
 
-// beatAll sends one heartbeat of every subscriber and waits for the answers.
-func beatAll(ctx context.Context, all []*subscriber) {
+// sendHeartbeats sends one heartbeat from every subscriber and waits for the replies.
+func sendHeartbeats(ctx context.Context, all []*subscriber) {
 	var wait sync.WaitGroup
 	for i, s := range all {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			beat := wire.Heartbeat{Node: fmt.Sprint("stub-", i), Role: "stub", Zone: "z", Address: "127.0.0.1:1"}
-			_ = s.client.Call(ctx, wire.MethodHeartbeat, beat, nil)
+			heartbeat := wire.Heartbeat{Node: fmt.Sprint("stub-", i), Role: "stub", Zone: "z", Address: "127.0.0.1:1"}
+			_ = s.client.Call(ctx, wire.MethodHeartbeat, heartbeat, nil)
 		}()
 	}
 	wait.Wait()
 }
 
-// modelObjects returns the objects of so many models, each with an adapter.
+// modelObjects returns a pool, the policy, and the models with numbers in [from, to),
+// each with one adapter.
 func modelObjects(from, to int, zones []string) []config.Object {
 	pool := config.Pool{Accelerators: 8, Memory: 80 * config.GiB, ChecksOrders: true}
 	for _, zone := range zones {
@@ -310,16 +315,16 @@
 	return objects
 }
 
-// models measures what the configuration costs by its size.
-func (m *Meter) models(ctx context.Context) error {
+// measureModels measures the memory and size of the configuration by the number of models.
+func (m *Meter) measureModels(ctx context.Context) error {
 	from := 1
 	for _, size := range modelSizes {
 		if _, err := m.apply(ctx, modelObjects(from, size, m.target.Zones)); err != nil {
 			return err
 		}
 		from = size
-		time.Sleep(settleFor)
-		after, err := m.controlNodesSpent(ctx)
+		time.Sleep(settleTime)
+		after, err := m.controlNodesUsage(ctx)
 		if err != nil {
 			return err
 		}
@@ -327,13 +332,13 @@
 		if err := m.controlNodes[0].Call(ctx, wire.MethodConfig, wire.ConfigRequest{}, &counted); err != nil {
 			return err
 		}
-		m.add("control: anonymous memory by configuration", size, mib(after.anonymous))
-		m.add("control: full configuration", size, float64(counted.bytes)/1024)
+		m.addSample("control: anonymous memory by configuration", size, mib(after.anonymous))
+		m.addSample("control: full configuration", size, float64(counted.bytes)/1024)
 	}
 	return nil
 }
 
-// countedUpdate counts an update's bytes instead of decoding it.
+// countedUpdate is an update of which only the encoded size is needed.
 type countedUpdate struct{ bytes int }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -342,27 +347,27 @@
 	return nil
 }
 
-// claims measures what once claims cost.
-func (m *Meter) claims(ctx context.Context) error {
+// measureClaims measures the memory of claims of idempotency keys by their number.
+func (m *Meter) measureClaims(ctx context.Context) error {
 	from := 0
 	for _, size := range claimSizes {
-		began := time.Now()
-		if err := m.claimMany(ctx, from, size); err != nil {
+		start := time.Now()
+		if err := m.claimKeys(ctx, from, size); err != nil {
 			return err
 		}
-		fmt.Printf("%-50s %8d  %s\n", "claims a second (not fitted)", size, format(float64(size-from)/time.Since(began).Seconds()))
+		fmt.Printf("%-50s %8d  %s\n", "claims a second (not fitted)", size, format(float64(size-from)/time.Since(start).Seconds()))
 		from = size
-		time.Sleep(settleFor)
-		after, err := m.controlNodesSpent(ctx)
+		time.Sleep(settleTime)
+		after, err := m.controlNodesUsage(ctx)
 		if err != nil {
 			return err
 		}
-		m.add("control: anonymous memory by claims", size, mib(after.anonymous))
+		m.addSample("control: anonymous memory by claims", size, mib(after.anonymous))
 	}
 	return nil
 }
 
-func (m *Meter) claimMany(ctx context.Context, from, to int) error {
+func (m *Meter) claimKeys(ctx context.Context, from, to int) error {
 	next := make(chan int)
 	failed := make(chan error, claimWorkers)
 	var wait sync.WaitGroup
--- a/src/capacity/sample.go
+++ b/src/capacity/sample.go
@@ -11,23 +11,24 @@
 	"github.com/pkg/errors"
 )
 
-// Sample is one measurement: a cost of a role at a size.
+// Sample is one measurement of a role at one size.
 type Sample struct {
-	// Series names what was measured, of which role.
+	// Series names the role and the measured quantity.
 	Series string
 	Size   float64
 	Value  float64
 }
 
-// series describes one kind of measurement and the size it is worked out for.
+// series describes one kind of measurement. targetSize is the size to which it is
+// extrapolated.
 type series struct {
-	name   string
-	size   string
-	unit   string
-	target float64
+	name       string
+	sizeUnit   string
+	unit       string
+	targetSize float64
 }
 
-// allSeries are the measurements of make capacity in the page's order.
+// allSeries lists the measurements of make capacity in the order of the page.
 var allSeries = []series{
 	{"control: time in force, p99", "subscribers", "ms", 340},
 	{"control: bytes out for one change", "subscribers", "B", 340},
@@ -46,7 +47,7 @@
 	{"gateway: processor time of 1,000 requests", "tokens each", "ms", 375},
 }
 
-// WriteCSV writes samples in the order they were taken.
+// WriteCSV writes samples to a file in the order in which they were taken.
 func WriteCSV(file string, samples []Sample) error {
 	out, err := os.Create(file)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return errors.Wrap(w.Error(), "writing the samples")
 }
 
-// ReadCSV reads what WriteCSV wrote.
+// ReadCSV reads a file that WriteCSV wrote.
 func ReadCSV(file string) ([]Sample, error) {
 	in, err := os.Open(file)
 	if err != nil {
@@ -90,10 +91,10 @@
 
 func format(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
 
-// line is a fit by least squares.
+// line is a line fitted by least squares.
 type line struct {
-	slope float64
-	base  float64
+	slope     float64
+	intercept float64
 }
 
 func fit(samples []Sample) line {
@@ -105,42 +106,42 @@
 		sxx += s.Size * s.Size
 		sxy += s.Size * s.Value
 	}
-	below := n*sxx - sx*sx
-	if below == 0 {
-		return line{base: sy / max(n, 1)}
+	denominator := n*sxx - sx*sx
+	if denominator == 0 {
+		return line{intercept: sy / max(n, 1)}
 	}
-	slope := (n*sxy - sx*sy) / below
-	return line{slope: slope, base: (sy - slope*sx) / n}
+	slope := (n*sxy - sx*sy) / denominator
+	return line{slope: slope, intercept: (sy - slope*sx) / n}
 }
 
-func (l line) at(size float64) float64 { return l.base + l.slope*size }
+func (l line) valueAt(size float64) float64 { return l.intercept + l.slope*size }
 
 // Render returns the page's table of slopes.
 func Render(samples []Sample) string {
 	var b strings.Builder
 	b.WriteString("| measured | size | samples (size: value) | slope for each | at the letter's size |\n|---|---|---|---|---|\n")
 	for _, kind := range allSeries {
-		own := of(samples, kind.name)
-		if len(own) == 0 {
+		selected := samplesOf(samples, kind.name)
+		if len(selected) == 0 {
 			continue
 		}
 		var parts []string
-		for _, s := range own {
+		for _, s := range selected {
 			parts = append(parts, format(s.Size)+": "+format(s.Value))
 		}
-		l := fit(own)
-		fmt.Fprintf(&b, "| %s, %s | %s | %s | %s | %s: **%s** |\n", kind.name, kind.unit, kind.size, strings.Join(parts, ", "), format(l.slope), format(kind.target), format(l.at(kind.target)))
+		l := fit(selected)
+		fmt.Fprintf(&b, "| %s, %s | %s | %s | %s | %s: **%s** |\n", kind.name, kind.unit, kind.sizeUnit, strings.Join(parts, ", "), format(l.slope), format(kind.targetSize), format(l.valueAt(kind.targetSize)))
 	}
 	return b.String()
 }
 
-func of(samples []Sample, name string) []Sample {
-	var own []Sample
+func samplesOf(samples []Sample, name string) []Sample {
+	var selected []Sample
 	for _, s := range samples {
 		if s.Series == name {
-			own = append(own, s)
+			selected = append(selected, s)
 		}
 	}
-	sort.SliceStable(own, func(i, j int) bool { return own[i].Size < own[j].Size })
-	return own
+	sort.SliceStable(selected, func(i, j int) bool { return selected[i].Size < selected[j].Size })
+	return selected
 }
--- a/src/capacity/sample_test.go
+++ b/src/capacity/sample_test.go
@@ -12,12 +12,12 @@
 	l := fit([]Sample{{Size: 1, Value: 5}, {Size: 2, Value: 7}, {Size: 4, Value: 11}})
 	is := is.New(t)
 	is.True(l.slope > 1.999 && l.slope < 2.001)
-	is.True(l.at(10) > 22.99 && l.at(10) < 23.01)
+	is.True(l.valueAt(10) > 22.99 && l.valueAt(10) < 23.01)
 }
 
-// TestPageAgreesWithItsSamples holds the page's table to docs/capacity.csv, and
-// every kind of measurement to at least three sizes.
-func TestPageAgreesWithItsSamples(t *testing.T) {
+// TestPageMatchesItsSamples checks that the tables in docs/CAPACITY.md match
+// docs/capacity.csv and that every series has at least three sizes.
+func TestPageMatchesItsSamples(t *testing.T) {
 	samples, err := ReadCSV("../../docs/capacity.csv")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, kind := range allSeries {
-		if n := len(of(samples, kind.name)); n < 3 {
+		if n := len(samplesOf(samples, kind.name)); n < 3 {
 			t.Errorf("%s was measured at %d sizes", kind.name, n)
 		}
 	}
--- a/src/capacity/stubs.go
+++ b/src/capacity/stubs.go
@@ -18,19 +18,20 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The stubs' shape: a host has as many accelerators as the letter's.
+// Sizes of the stubs. A stub host has as many accelerators as a host of the target
+// installation.
 const (
-	accelerators = 8
-	modelsOnHost = 10
-	stubPort     = 9000
-	requestsEach = 1000
-	clients      = 8
-	// settleTries bounds the wait for a planner that keeps loading.
-	settleTries = 8
+	accelerators    = 8
+	modelsPerHost   = 10
+	stubPort        = 9000
+	requestsPerSize = 1000
+	clients         = 8
+	// settleAttempts limits the wait for a planner that keeps loading models.
+	settleAttempts = 8
 )
 
-// planner measures the planner by the hosts of its zone.
-func (m *Meter) planner(ctx context.Context) error {
+// measurePlanner measures the planner by the number of hosts in its zone.
+func (m *Meter) measurePlanner(ctx context.Context) error {
 	ln, err := net.Listen("tcp", m.target.Platform)
 	if err != nil {
 		return errors.Wrap(err, "listening as the platform")
@@ -57,11 +58,11 @@
 	return nil
 }
 
-// settlePlanner waits until the planner has loaded what it wants for now.
+// settlePlanner waits until the planner starts no more loads.
 func (m *Meter) settlePlanner(ctx context.Context) error {
 	var loads uint64
-	for tries := 0; tries < settleTries; tries++ {
-		time.Sleep(2 * settleFor)
+	for tries := 0; tries < settleAttempts; tries++ {
+		time.Sleep(2 * settleTime)
 		status, err := m.status(ctx, m.target.Planner)
 		if err != nil {
 			return err
@@ -89,28 +90,28 @@
 	return discovery.Host{Name: name, Pool: "load-pool", Zone: m.target.Zone, Address: address}, nil
 }
 
-// measureIdle measures a process over a while in which nothing is asked of it.
+// measureIdle measures an idle process for idleTime.
 func (m *Meter) measureIdle(ctx context.Context, address string, size int, cpu, memory, traffic string) error {
 	before, err := m.status(ctx, address)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	time.Sleep(idleFor)
+	start := time.Now()
+	time.Sleep(idleTime)
 	after, err := m.status(ctx, address)
 	if err != nil {
 		return err
 	}
-	took := time.Since(began).Seconds()
-	m.add(cpu, size, 100*(after.Control.CPU-before.Control.CPU).Std().Seconds()/took)
-	m.add(memory, size, mib(after.Control.Anonymous))
+	elapsed := time.Since(start).Seconds()
+	m.addSample(cpu, size, 100*(after.Control.CPU-before.Control.CPU).Std().Seconds()/elapsed)
+	m.addSample(memory, size, mib(after.Control.Anonymous))
 	bytes := after.Control.BytesIn + after.Control.BytesOut - before.Control.BytesIn - before.Control.BytesOut
-	m.add(traffic, size, float64(bytes)/took)
+	m.addSample(traffic, size, float64(bytes)/elapsed)
 	return nil
 }
 
-// stubPlanner stands in for the planners of the other zones: it tells
-// gateways about hosts that are not there.
+// stubPlanner replaces the planner of another zone and sends gateways the routes
+// of hosts that do not exist.
 type stubPlanner struct {
 	mu    sync.Mutex
 	peers []*rpc.Peer
@@ -137,16 +138,17 @@
 	return wire.RoutesUpdate{Zone: p.zone, Epoch: 1, Seq: p.seq, Full: true, Hosts: p.hosts}
 }
 
-// grow tells of so many hosts, with models spread over them.
-func (p *stubPlanner) grow(ctx context.Context, size int, address string) {
+// announceHosts sends all gateways the routes of size hosts, with the models spread
+// over them.
+func (p *stubPlanner) announceHosts(ctx context.Context, size int, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seq++
 	p.hosts = nil
 	for n := 0; n < size; n++ {
 		route := wire.HostRoute{Host: fmt.Sprint("far-", n), Pool: "load-pool", Zone: p.zone, Address: address, State: wire.HostLive, Slots: 64}
-		for i := 0; i < modelsOnHost; i++ {
-			name := fmt.Sprint("load-", (n*modelsOnHost+i)%modelSizes[len(modelSizes)-1])
+		for i := 0; i < modelsPerHost; i++ {
+			name := fmt.Sprint("load-", (n*modelsPerHost+i)%modelSizes[len(modelSizes)-1])
 			route.Models = append(route.Models, wire.ModelRoute{Model: name, Version: "v1", Adapters: []string{name + "-a"}})
 		}
 		p.hosts = append(p.hosts, route)
@@ -156,66 +158,67 @@
 	}
 }
 
-// entryIdle measures an idle gateway by the hosts that it routes to.
-func (m *Meter) entryIdle(ctx context.Context) error {
+// measureIdleGateway measures an idle gateway by the number of hosts in its routing table.
+func (m *Meter) measureIdleGateway(ctx context.Context) error {
 	other := m.target.Zones[len(m.target.Zones)-1]
 	m.stub = &stubPlanner{zone: other}
-	if _, err := rpc.Listen(m.target.Own, m.stub.mux(), m.cost); err != nil {
+	if _, err := rpc.Listen(m.target.StubPlanner, m.stub.mux(), m.cost); err != nil {
 		return errors.Wrap(err, "listening as a planner")
 	}
 	var reply wire.GrantReply
-	request := wire.GrantRequest{Zone: other, Holder: "capacity", Address: m.target.Own}
+	request := wire.GrantRequest{Zone: other, Holder: "capacity", Address: m.target.StubPlanner}
 	if err := m.controlNodes[0].Call(ctx, wire.MethodGrant, request, &reply); err != nil {
 		return err
 	}
 	for _, size := range routeSizes {
-		m.stub.grow(ctx, size, "127.0.0.1:1")
-		time.Sleep(2 * settleFor)
-		if err := m.measureIdle(ctx, m.target.Entry, size, "gateway: processor share, idle", "entry: anonymous memory, idle", "entry: control traffic, idle"); err != nil {
+		m.stub.announceHosts(ctx, size, "127.0.0.1:1")
+		time.Sleep(2 * settleTime)
+		if err := m.measureIdle(ctx, m.target.Gateway, size, "gateway: processor share, idle", "entry: anonymous memory, idle", "entry: control traffic, idle"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// entryRequests measures what a request costs by its tokens: the line's base is
-// the request, its slope the token.
-func (m *Meter) entryRequests(ctx context.Context) error {
+// measureGatewayRequests measures the processor time of requests by their number of
+// tokens. The intercept of the fitted line is the cost of a request, the slope that
+// of a token.
+func (m *Meter) measureGatewayRequests(ctx context.Context) error {
 	ln, err := net.Listen("tcp", fmt.Sprintf("%s%d.%d:%d", m.target.Prefix, 99, 9, stubPort))
 	if err != nil {
 		return errors.Wrap(err, "listening as an engine")
 	}
 	fast := emulator.NewEngine(emulator.EngineOptions{Host: "far-0", Capacity: []config.Bytes{config.GiB}, Slots: 1 << 20, Warm: []engine.Copy{{Weights: engine.Weights{Model: "load-0", Version: "v1"}, Bytes: 1}}})
 	fast.Serve(ln)
-	m.stub.grow(ctx, 1, ln.Addr().String())
-	time.Sleep(settleFor)
+	m.stub.announceHosts(ctx, 1, ln.Addr().String())
+	time.Sleep(settleTime)
 	streams, err := engine.NewStreams(nil, callTimeout)
 	if err != nil {
 		return err
 	}
 	for _, tokens := range tokenSizes {
-		before, err := m.status(ctx, m.target.Entry)
+		before, err := m.status(ctx, m.target.Gateway)
 		if err != nil {
 			return err
 		}
-		if err := drive(ctx, streams, m.target.Clients, tokens); err != nil {
+		if err := sendRequests(ctx, streams, m.target.Clients, tokens); err != nil {
 			return err
 		}
-		after, err := m.status(ctx, m.target.Entry)
+		after, err := m.status(ctx, m.target.Gateway)
 		if err != nil {
 			return err
 		}
-		m.add("gateway: processor time of 1,000 requests", tokens, ms((after.Control.CPU-before.Control.CPU).Std())*1000/requestsEach)
+		m.addSample("gateway: processor time of 1,000 requests", tokens, ms((after.Control.CPU-before.Control.CPU).Std())*1000/requestsPerSize)
 	}
 	return nil
 }
 
-func drive(ctx context.Context, streams *engine.Streams, address string, tokens int) error {
+func sendRequests(ctx context.Context, streams *engine.Streams, address string, tokens int) error {
 	failed := make(chan error, clients)
 	for c := 0; c < clients; c++ {
 		go func() {
-			for n := 0; n < requestsEach/clients; n++ {
-				if err := ask(ctx, streams, address, tokens); err != nil {
+			for n := 0; n < requestsPerSize/clients; n++ {
+				if err := sendRequest(ctx, streams, address, tokens); err != nil {
 					failed <- err
 					return
 				}
@@ -231,7 +234,7 @@
 	return nil
 }
 
-func ask(ctx context.Context, streams *engine.Streams, address string, tokens int) error {
+func sendRequest(ctx context.Context, streams *engine.Streams, address string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"load-0","prompt":"p","stream":true,"max_tokens":%d}`, tokens)
 	stream, err := streams.Open(ctx, address, engine.Request{Path: engine.PathCompletions, Body: []byte(body), ID: "capacity"})
 	if err != nil {
--- a/src/gateway/admit.go
+++ b/src/gateway/admit.go
@@ -117,10 +117,10 @@
 	Lost() <-chan struct{}
 }
 
-// queueWait returns how long a request may be queued: at most half of its
-// target for the time to the first token, which leaves the other half to the
-// engine. Without a target, and when part of the response was already sent, the
-// limit is the one in the settings.
+// queueWait returns how long a request may be queued. The settings limit it, and
+// so does half of the target for the time to the first token, which leaves the
+// other half to the engine. The target does not apply once part of the answer was
+// sent.
 func (s *Server) queueWait(r *request) time.Duration {
 	maxWait := s.settings.Limits.QueueWait.Std()
 	if r.answerStarted {
--- a/src/gateway/completion.go
+++ b/src/gateway/completion.go
@@ -45,9 +45,10 @@
 // exchange is a completion request with the part of its answer that was relayed
 // so far. It is used by one goroutine.
 type exchange struct {
-	server      *Server
-	r           *request
-	out         *answerWriter
+	server *Server
+	r      *request
+	out    *answerWriter
+	// lastToken is the id of the last relayed token, 0 before the first one.
 	lastToken   uint64
 	lastTokenAt time.Time
 	timeToFirst time.Duration
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -96,7 +96,7 @@
 	text, err := b.ask("r", "m", "p", 6)
 	is.NoErr(err)
 	is.Equal(text, emulator.Answer("m", "p", 6))
-	is.Equal(first.Ran("r"), 1) // three tokens came from each
+	is.Equal(first.Ran("r"), 1) // each host sent three tokens
 	is.Equal(second.Ran("r"), 1)
 	is.Equal(b.server.Status().Resumed, uint64(1))
 }
@@ -155,7 +155,7 @@
 	go func() {
 		defer close(stopped)
 		b.server.stop(proc)
-		if left := b.server.InFlight(); left != 0 { // the process would end here
+		if left := b.server.InFlight(); left != 0 { // the process ends after stop returns
 			t.Errorf("the stop cut off %d requests", left)
 		}
 	}()
@@ -170,7 +170,7 @@
 	is.Equal(text, emulator.Answer("m", "first", tokens))
 	<-stopped
 	_, err = b.ask("r3", "m", "after", 3)
-	is.True(err != nil) // nothing is taken any more
+	is.True(err != nil) // no further requests are accepted
 }
 
 func TestRequestWithoutHostIsRefusedAsNotRun(t *testing.T) {
@@ -237,7 +237,7 @@
 	is.True(strings.Contains(string(answer.Body), string(ReasonOutcomeUnknown)))
 	is.True(strings.Contains(string(answer.Body), `"not_run":"unknown"`))
 	is.Equal(calls.Load(), int64(1))
-	is.Equal((<-settled).State, wire.ClaimLost) // the key stays taken
+	is.Equal((<-settled).State, wire.ClaimLost) // the key stays claimed
 }
 
 func TestOnceCallIsRetriedWhenNothingWasSent(t *testing.T) {
@@ -351,13 +351,13 @@
 		hosts = append(hosts, host)
 		b.fakeHost(name, func(h *server.Hertz) { h.POST(engine.PathCompletions, host.handle) })
 	}
-	b.server.budget = limit.NewBudget(1e6) // retries are not what is tested here
+	b.server.budget = limit.NewBudget(1e6) // retries must not run out of budget
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
 		id := fmt.Sprint("r", number)
 		for _, host := range hosts {
-			// Drawn before the lock: a draw may end the run by a panic.
+			// Drawn before taking the lock, since a draw may panic.
 			script := rapid.SliceOfN(behaviourGen, 0, 4).Draw(t, "script")
 			host.mu.Lock()
 			host.script = script
--- a/src/gateway/relay_bench_test.go
+++ b/src/gateway/relay_bench_test.go
@@ -77,8 +77,8 @@
 	return ln.Addr().String()
 }
 
-// sendRequests sends n requests from a number of concurrent clients, one per
-// interval at most, and returns the duration of each.
+// sendRequests sends n requests from a number of concurrent clients, one every
+// interval, or as fast as possible if interval is 0. It returns the duration of each.
 func sendRequests(b *testGateway, address string, n, clients int, interval time.Duration) []time.Duration {
 	durations := make([]time.Duration, n)
 	next := make(chan int)
--- a/src/gateway/request.go
+++ b/src/gateway/request.go
@@ -39,22 +39,26 @@
 
 // request is a parsed client request.
 type request struct {
-	id             string
-	started        time.Time
-	priority       int
-	deadline       time.Time
-	once           bool
-	key            string
-	trace          string
-	want           route.Want
-	path           string
-	body           []byte
-	stream         bool
+	id       string
+	started  time.Time
+	priority int
+	deadline time.Time
+	// once is set if the request must not be repeated; key is its idempotency key,
+	// empty for none.
+	once   bool
+	key    string
+	trace  string
+	want   route.Want
+	path   string
+	body   []byte
+	stream bool
+	// requestedModel is the name in the request, which may be a label.
 	requestedModel string
-	prefix         uint64
-	target         config.Target
-	tried          route.Tried
-	retries        int
+	// prefix is a hash of the start of the prompt.
+	prefix  uint64
+	target  config.Target
+	tried   route.Tried
+	retries int
 	// answerStarted is set once part of the answer was sent to the client.
 	answerStarted bool
 }
--- a/src/gateway/routes.go
+++ b/src/gateway/routes.go
@@ -37,12 +37,15 @@
 	onChange func()
 	table    atomic.Pointer[route.Table]
 
-	mu          sync.Mutex
-	hosts       map[string]*route.Host
-	known       map[string]map[string]wire.HostRoute
-	position    map[string]position
-	planners    map[string]*rpc.Client
-	breakers    map[string]*route.Breaker
+	mu    sync.Mutex
+	hosts map[string]*route.Host
+	// known holds the routes of each zone by host, position the last update of each zone.
+	known    map[string]map[string]wire.HostRoute
+	position map[string]position
+	// planners, breakers and lastReports are by zone.
+	planners map[string]*rpc.Client
+	breakers map[string]*route.Breaker
+	// demand is what was counted for each model since the last report.
 	demand      map[string]*wire.ModelDemand
 	lastReports map[string]sentReport
 }
--- a/src/gateway/server.go
+++ b/src/gateway/server.go
@@ -121,7 +121,8 @@
 	s.inFlight.Add(1)
 	s.counts.requests.Add(1)
 	if s.leaving.Load() {
-		// Makes the client open its next connection, which reaches another gateway.
+		// Makes the client send its next request on a new connection, which the load
+		// balancer directs to another gateway.
 		c.SetConnectionClose()
 	}
 	c.Next(ctx)
