--- a/src/config/object.go
+++ b/src/config/object.go
@@ -48,7 +48,7 @@
 	return r.Index < other.Index
 }
 
-// Model is a model that requests can name.
+// Model is a model that the installation serves.
 type Model struct {
 	// Memory is the size of the weights on an accelerator.
 	Memory Bytes `json:"memory" yaml:"memory"`
@@ -213,9 +213,9 @@
 	return nil
 }
 
-// Same reports whether both objects have the same key and content, regardless of
+// Equal reports whether both objects have the same key and content, regardless of
 // their revisions.
-func (o Object) Same(other Object) bool {
+func (o Object) Equal(other Object) bool {
 	if o.Key != other.Key {
 		return false
 	}
--- a/src/config/update.go
+++ b/src/config/update.go
@@ -71,7 +71,7 @@
 	for _, object := range wanted {
 		keep[object.Key] = true
 		current, found := s.objects[object.Key]
-		if found && current.Same(object) {
+		if found && current.Equal(object) {
 			continue
 		}
 		put = append(put, object)
--- a/src/policy/bench.go
+++ b/src/policy/bench.go
@@ -15,14 +15,14 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// tick is how far virtual time moves at once; reports and plans come at fewer.
+// tick is the step of virtual time. Reports and plans are made every stepInterval.
 const (
-	tick      = 50 * time.Millisecond
-	stepEvery = 250 * time.Millisecond
-	version   = "v1"
+	tick         = 50 * time.Millisecond
+	stepInterval = 250 * time.Millisecond
+	version      = "v1"
 )
 
-// Policy is a way of placing and routing.
+// Policy is a combination of a placement and a routing policy.
 type Policy struct {
 	name   string
 	placer func(b *bench) placer
@@ -32,70 +32,70 @@
 // Name returns the policy's name.
 func (p Policy) Name() string { return p.name }
 
-// placer decides for all zones at a step.
+// placer makes the placement decisions of all zones.
 type placer interface {
 	step(now time.Time)
 }
 
-// bench is one run of an experiment under a policy.
+// bench is the simulation of one experiment under one policy.
 type bench struct {
-	e      Experiment
-	policy Policy
-	random *rand.Rand
-	now    time.Time
-	began  time.Time
-	set    *config.Set
-	zones  []*zoneSim
-	store  *fakeStore
-	names  []string
-	done   finishHeap
-	pool   finishHeap
-	result Result
-	window windowCount
+	e             Experiment
+	policy        Policy
+	random        *rand.Rand
+	now           time.Time
+	start         time.Time
+	set           *config.Set
+	zones         []*zoneSim
+	store         *fakeStore
+	names         []string
+	done          completionHeap
+	idealInFlight completionHeap
+	result        Result
+	window        windowCount
 }
 
-// zoneSim is an availability zone with its router.
+// zoneSim is a simulated availability zone with its router.
 type zoneSim struct {
 	name    string
 	engines []*fakeEngine
-	// byName and order hold every zone's engines, since routers reach them all.
-	byName map[string]*fakeEngine
-	order  []string
-	hosts  map[string]*route.Host
-	table  *route.Table
-	turn   int
-	// seenAt is when the router last saw the engines' load.
-	seenAt time.Time
-	busy   map[string]time.Duration
-	missed map[string]int
+	// byName and order hold the engines of all zones, since routers can reach all of them.
+	byName     map[string]*fakeEngine
+	order      []string
+	hosts      map[string]*route.Host
+	table      *route.Table
+	nextHolder int
+	// loadsSeenAt is when the router last received the engines' loads.
+	loadsSeenAt time.Time
+	busy        map[string]time.Duration
+	unserved    map[string]int
 }
 
-// finish is a request's end.
-type finish struct {
-	at     time.Time
-	engine *fakeEngine
-	host   *route.Host
-	took   time.Duration
-	// attained says whether it met its target.
+// completion is the end of a request.
+type completion struct {
+	at       time.Time
+	engine   *fakeEngine
+	host     *route.Host
+	duration time.Duration
+	// attained is set if the request met its target.
 	attained bool
 }
 
-type finishHeap []finish
+type completionHeap []completion
 
 // Len implements heap.Interface.
-func (h finishHeap) Len() int { return len(h) }
+func (h completionHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h finishHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h completionHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
 
 // Swap implements heap.Interface.
-func (h finishHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h completionHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *finishHeap) Push(x any) { *h = append(*h, x.(finish)) }
+func (h *completionHeap) Push(x any) { *h = append(*h, x.(completion)) }
 
 // Pop implements heap.Interface.
-func (h *finishHeap) Pop() any {
+func (h *completionHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -108,28 +108,28 @@
 		e:      e,
 		policy: policy,
 		random: rand.New(rand.NewPCG(e.Seed, 7)),
-		began:  time.Unix(1_800_000_000, 0),
+		start:  time.Unix(1_800_000_000, 0),
 		store: &fakeStore{
 			interval:  time.Duration(float64(time.Second) / e.Store.LoadsPerSecond),
 			fullSpeed: e.Store.FullSpeed,
 			loadTime:  e.LoadTime.Std(),
 		},
 	}
-	b.now = b.began
+	b.now = b.start
 	b.result = Result{Policy: policy.name, Experiment: e.Name, Accelerators: e.Zones * e.Hosts}
 	b.set = b.configuration()
-	b.build()
-	b.warm()
+	b.buildZones()
+	b.loadInitialCopies()
 	loop := policy.placer(b)
-	for step := 0; b.now.Sub(b.began) < e.Duration.Std(); step++ {
+	for step := 0; b.now.Sub(b.start) < e.Duration.Std(); step++ {
 		b.now = b.now.Add(tick)
-		b.lose()
-		b.finishDue()
-		if step%int(stepEvery/tick) == 0 {
+		b.applyHostLosses()
+		b.completeDue()
+		if step%int(stepInterval/tick) == 0 {
 			loop.step(b.now)
-			b.countReachable()
+			b.countUnreachable()
 		}
-		b.arrive()
+		b.generateRequests()
 	}
 	b.close()
 	return b.result
@@ -161,9 +161,9 @@
 
 func zoneName(z int) string { return fmt.Sprint("zone-", z) }
 
-func (b *bench) build() {
+func (b *bench) buildZones() {
 	for z := 0; z < b.e.Zones; z++ {
-		zone := &zoneSim{name: zoneName(z), byName: map[string]*fakeEngine{}, hosts: map[string]*route.Host{}, busy: map[string]time.Duration{}, missed: map[string]int{}}
+		zone := &zoneSim{name: zoneName(z), byName: map[string]*fakeEngine{}, hosts: map[string]*route.Host{}, busy: map[string]time.Duration{}, unserved: map[string]int{}}
 		for h := 0; h < b.e.Hosts; h++ {
 			e := newFakeEngine(fmt.Sprintf("z%d-h%03d", z, h), b.e.Memory, b.e.Slots)
 			zone.engines = append(zone.engines, e)
@@ -173,8 +173,8 @@
 	for _, zone := range b.zones {
 		for _, other := range b.zones {
 			for _, e := range other.engines {
-				described := wire.HostRoute{Host: e.report.Host, Zone: other.name, State: wire.HostLive, Slots: b.e.Slots}
-				zone.hosts[e.report.Host] = route.NewHost(described, nil)
+				hostRoute := wire.HostRoute{Host: e.report.Host, Zone: other.name, State: wire.HostLive, Slots: b.e.Slots}
+				zone.hosts[e.report.Host] = route.NewHost(hostRoute, nil)
 				zone.byName[e.report.Host] = e
 				zone.order = append(zone.order, e.report.Host)
 			}
@@ -183,9 +183,9 @@
 	}
 }
 
-// warm gives every model one ready copy in each of its zones, evenly, for every
-// policy the same.
-func (b *bench) warm() {
+// loadInitialCopies gives every model one ready copy in each of its zones, spread
+// evenly over the engines. The initial placement is the same for all policies.
+func (b *bench) loadInitialCopies() {
 	for _, zone := range b.zones {
 		at := 0
 		for _, model := range b.names {
@@ -195,8 +195,8 @@
 			for tried := 0; tried < len(zone.engines); tried++ {
 				e := zone.engines[at%len(zone.engines)]
 				at++
-				if e.used()+b.set.Footprint(model) <= b.e.Memory {
-					b.place(e, model)
+				if e.usedMemory()+b.set.Footprint(model) <= b.e.Memory {
+					b.addReadyCopy(e, model)
 					break
 				}
 			}
@@ -204,8 +204,8 @@
 	}
 }
 
-// place makes a copy ready at once, adapters included.
-func (b *bench) place(e *fakeEngine, model string) {
+// addReadyCopy adds a ready copy of a model and its adapters to an engine.
+func (b *bench) addReadyCopy(e *fakeEngine, model string) {
 	m := b.set.Model(model)
 	e.report.Copies = append(e.report.Copies, engine.Copy{Weights: engine.Weights{Model: model, Version: version}, Bytes: m.Memory + m.KVFloor, State: engine.CopyReady})
 	for _, name := range b.set.AdapterNames(model) {
@@ -213,30 +213,30 @@
 	}
 }
 
-func (b *bench) lose() {
-	at := b.now.Sub(b.began)
+func (b *bench) applyHostLosses() {
+	at := b.now.Sub(b.start)
 	for _, loss := range b.e.HostLosses {
 		e := b.zones[loss.Zone].engines[loss.Host]
-		was := e.down
+		wasDown := e.down
 		e.down = at >= loss.At.Std() && at < loss.At.Std()+loss.For.Std()
-		if e.down && !was {
-			// A lost host comes back empty.
+		if e.down && !wasDown {
+			// A lost host returns without copies.
 			e.report = engine.Report{Host: e.report.Host, Incarnation: e.report.Incarnation + "1", Capacity: e.report.Capacity, Slots: e.report.Slots}
 		}
 	}
 }
 
-func (b *bench) finishDue() {
+func (b *bench) completeDue() {
 	for len(b.done) > 0 && !b.done[0].at.After(b.now) {
-		f := heap.Pop(&b.done).(finish)
+		f := heap.Pop(&b.done).(completion)
 		f.engine.running--
 		if f.host != nil {
-			f.host.End(f.took, f.attained)
+			f.host.End(f.duration, f.attained)
 		}
 	}
 }
 
-// weight is a model's share of the demand at a time.
+// weight returns the relative demand for a model at a time.
 func (b *bench) weight(model int, at time.Duration) float64 {
 	shift := 0
 	if b.e.Demand.Shift > 0 {
@@ -259,27 +259,27 @@
 	return (model-first%b.e.Models+b.e.Models)%b.e.Models < d.BurstModels
 }
 
-// arrive draws the requests of a tick, each model for itself.
-func (b *bench) arrive() {
-	at := b.now.Sub(b.began)
-	base := 0.0
+// generateRequests draws the number of requests in a tick for each model and sends them.
+func (b *bench) generateRequests() {
+	at := b.now.Sub(b.start)
+	totalWeight := 0.0
 	for m := range b.names {
 		shift := 0
 		if b.e.Demand.Shift > 0 {
 			shift = int(at / b.e.Demand.Shift.Std())
 		}
 		rank := (m*31 + shift*11) % b.e.Models
-		base += 1 / math.Pow(float64(rank+1), b.e.Demand.Skew)
+		totalWeight += 1 / math.Pow(float64(rank+1), b.e.Demand.Skew)
 	}
 	arrived := 0
 	for m, name := range b.names {
-		mean := b.e.Demand.Rate * tick.Seconds() * b.weight(m, at) / base
+		mean := b.e.Demand.Rate * tick.Seconds() * b.weight(m, at) / totalWeight
 		for n := b.poisson(mean); n > 0; n-- {
 			arrived++
-			b.request(name)
+			b.sendRequest(name)
 		}
 	}
-	b.bound(arrived)
+	b.countBound(arrived)
 }
 
 func (b *bench) poisson(mean float64) int {
@@ -290,34 +290,35 @@
 	return n
 }
 
-// request sends one request in through a random zone's gateway.
-func (b *bench) request(model string) {
+// sendRequest sends one request through the gateway of a random zone.
+func (b *bench) sendRequest(model string) {
 	zone := b.zones[b.random.IntN(len(b.zones))]
 	b.result.Requests++
 	b.window.requests++
 	e := b.policy.pick(zone, model, b.random)
 	if e == nil || !e.ready(model) {
 		b.result.Refused++
-		zone.missed[model]++
+		zone.unserved[model]++
 		return
 	}
-	crowd := math.Max(1, float64(e.running+1)/float64(b.e.Slots))
-	took := time.Duration(float64(b.e.Service) * crowd)
+	loadFactor := math.Max(1, float64(e.running+1)/float64(b.e.Slots))
+	duration := time.Duration(float64(b.e.Service) * loadFactor)
 	e.running++
-	zone.busy[model] += took
-	heap.Push(&b.done, finish{at: b.now.Add(took), engine: e, host: zone.hosts[e.report.Host], took: took, attained: crowd <= b.e.Crowd})
-	b.result.wait(crowd)
-	if crowd <= b.e.Crowd {
+	zone.busy[model] += duration
+	heap.Push(&b.done, completion{at: b.now.Add(duration), engine: e, host: zone.hosts[e.report.Host], duration: duration, attained: loadFactor <= b.e.MaxLoadFactor})
+	b.result.recordLoadFactor(loadFactor)
+	if loadFactor <= b.e.MaxLoadFactor {
 		b.result.Attained++
 		b.window.attained++
 	}
 }
 
-// bound counts what a clairvoyant could attain: all accelerators as one, any
-// model at once on any of them, and nothing begun that would miss its target.
-func (b *bench) bound(arrived int) {
-	for len(b.pool) > 0 && !b.pool[0].at.After(b.now) {
-		heap.Pop(&b.pool)
+// countBound counts the requests that could meet their target in the best case.
+// All accelerators form one pool that serves any model at once, and requests that
+// would miss their target are not started.
+func (b *bench) countBound(arrived int) {
+	for len(b.idealInFlight) > 0 && !b.idealInFlight[0].at.After(b.now) {
+		heap.Pop(&b.idealInFlight)
 	}
 	slots := 0
 	for _, zone := range b.zones {
@@ -328,17 +329,17 @@
 		}
 	}
 	for range arrived {
-		crowd := math.Max(1, float64(len(b.pool)+1)/float64(slots))
-		if crowd > b.e.Crowd {
+		loadFactor := math.Max(1, float64(len(b.idealInFlight)+1)/float64(slots))
+		if loadFactor > b.e.MaxLoadFactor {
 			return
 		}
 		b.result.Bound++
-		heap.Push(&b.pool, finish{at: b.now.Add(time.Duration(float64(b.e.Service) * crowd))})
+		heap.Push(&b.idealInFlight, completion{at: b.now.Add(time.Duration(float64(b.e.Service) * loadFactor))})
 	}
 }
 
-// countReachable adds the time in which models had no ready copy anywhere.
-func (b *bench) countReachable() {
+// countUnreachable adds the time during which models had no ready copy in any zone.
+func (b *bench) countUnreachable() {
 	for _, model := range b.names {
 		found := false
 		for _, zone := range b.zones {
@@ -347,12 +348,13 @@
 			}
 		}
 		if !found {
-			b.result.Unreachable += stepEvery
+			b.result.Unreachable += stepInterval
 		}
 	}
 	b.window.add(b)
 }
 
+// close adds the engines' counters to the result.
 func (b *bench) close() {
 	for _, zone := range b.zones {
 		for _, e := range zone.engines {
--- a/src/policy/bench_test.go
+++ b/src/policy/bench_test.go
@@ -16,7 +16,7 @@
 	return e
 }
 
-func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
+func TestSameSeedGivesSameOutput(t *testing.T) {
 	e := kilima(t)
 	var first, second bytes.Buffer
 	is := is.New(t)
@@ -25,15 +25,15 @@
 	is.Equal(first.String(), second.String())
 }
 
-// TestPolicyKeepsItsGoals holds the policy to its measures on virtual time: the
-// same seed, the same result at every run.
-func TestPolicyKeepsItsGoals(t *testing.T) {
+// TestPolicyMeetsItsGoals checks the policy's results against its goals. They are
+// the same in every run, since the simulation uses virtual time and a seed.
+func TestPolicyMeetsItsGoals(t *testing.T) {
 	e := kilima(t)
 	own, static, replan := Run(e, Policies[0]), Run(e, Policies[1]), Run(e, Policies[3])
 	is := is.New(t)
-	is.True(own.OfBound() >= 0.9)                              // of a clairvoyant
-	is.True(own.Attainment() >= 1.3*static.Attainment())       // of static placement
-	is.True(float64(own.Moves()) <= float64(replan.Moves())/3) // of replanning
+	is.True(own.OfBound() >= 0.9)                              // compared with the upper bound
+	is.True(own.Attainment() >= 1.3*static.Attainment())       // compared with static placement
+	is.True(float64(own.Moves()) <= float64(replan.Moves())/3) // compared with full replanning
 	is.Equal(own.Breaches, 0)
 	is.Equal(own.Unreachable.Seconds(), 0.0)
 }
--- a/src/policy/engine.go
+++ b/src/policy/engine.go
@@ -7,7 +7,7 @@
 	"github.com/moorspool/moorspool/src/engine"
 )
 
-// fakeEngine is a backend server as far as placement and routing see it.
+// fakeEngine simulates the parts of a backend server that placement and routing use.
 type fakeEngine struct {
 	report   engine.Report
 	readyAt  map[engine.Weights]time.Time
@@ -25,7 +25,7 @@
 	}
 }
 
-func (e *fakeEngine) used() config.Bytes {
+func (e *fakeEngine) usedMemory() config.Bytes {
 	var sum config.Bytes
 	for _, c := range e.report.Copies {
 		sum += c.Bytes
@@ -33,7 +33,7 @@
 	return sum
 }
 
-func (e *fakeEngine) find(w engine.Weights) int {
+func (e *fakeEngine) findCopy(w engine.Weights) int {
 	for i, c := range e.report.Copies {
 		if c.Weights == w {
 			return i
@@ -42,8 +42,8 @@
 	return -1
 }
 
-// take carries an order out; a load is ready when the store says.
-func (e *fakeEngine) take(order engine.Order, store *fakeStore, now time.Time) engine.OrderReply {
+// execute executes an order. The store determines when a load is complete.
+func (e *fakeEngine) execute(order engine.Order, store *fakeStore, now time.Time) engine.OrderReply {
 	if order.Epoch == e.report.Epoch && order.Seq <= e.report.LastOrder {
 		return engine.OrderReply{Outcome: engine.OrderStale}
 	}
@@ -58,10 +58,10 @@
 }
 
 func (e *fakeEngine) load(w engine.Weights, bytes config.Bytes, store *fakeStore, now time.Time) engine.OrderReply {
-	if e.find(w) >= 0 {
+	if e.findCopy(w) >= 0 {
 		return engine.OrderReply{Outcome: engine.OrderTaken}
 	}
-	if e.used()+bytes > e.report.Capacity[0] {
+	if e.usedMemory()+bytes > e.report.Capacity[0] {
 		e.breaches++
 		return engine.OrderReply{Outcome: engine.OrderNoMemory}
 	}
@@ -71,12 +71,12 @@
 	return engine.OrderReply{Outcome: engine.OrderTaken}
 }
 
-// unload drops a model with its adapters, or one adapter.
+// unload removes a model with its adapters, or one adapter.
 func (e *fakeEngine) unload(w engine.Weights) {
 	kept := e.report.Copies[:0:0]
 	for _, c := range e.report.Copies {
-		family := w.Adapter == "" && c.Weights.Model == w.Model && c.Weights.Version == w.Version
-		if c.Weights == w || family {
+		sameModel := w.Adapter == "" && c.Weights.Model == w.Model && c.Weights.Version == w.Version
+		if c.Weights == w || sameModel {
 			if c.Weights.Adapter == w.Adapter {
 				e.unloads++
 			}
@@ -87,7 +87,7 @@
 	e.report.Copies = kept
 }
 
-func (e *fakeEngine) tick(now time.Time) engine.Report {
+func (e *fakeEngine) advance(now time.Time) engine.Report {
 	for i := range e.report.Copies {
 		c := &e.report.Copies[i]
 		if c.State == engine.CopyLoading && !now.Before(e.readyAt[c.Weights]) {
@@ -103,11 +103,12 @@
 }
 
 func (e *fakeEngine) ready(model string) bool {
-	at := e.find(engine.Weights{Model: model, Version: version})
+	at := e.findCopy(engine.Weights{Model: model, Version: version})
 	return !e.down && at >= 0 && e.report.Copies[at].State == engine.CopyReady
 }
 
-// fakeStore starts loads at a rate; past its number at full speed all slow.
+// fakeStore simulates the weight store. It starts loads at a limited rate; if more
+// than fullSpeed loads are active, a new load takes proportionally longer.
 type fakeStore struct {
 	interval  time.Duration
 	fullSpeed int
--- a/src/policy/experiment.go
+++ b/src/policy/experiment.go
@@ -9,7 +9,7 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// Experiment says what is simulated; it is read from a YAML file.
+// Experiment describes a simulation. It is read from a YAML file.
 type Experiment struct {
 	Name     string          `yaml:"name"`
 	Seed     uint64          `yaml:"seed"`
@@ -24,45 +24,45 @@
 	Slots    int            `yaml:"slots"`
 	Weigh    config.Weigh   `yaml:"weigh"`
 	Store    config.Store   `yaml:"store"`
-	// LoadTime is what one load takes at full speed.
+	// LoadTime is the duration of one load at full speed.
 	LoadTime config.Duration `yaml:"loadTime"`
-	// Service is a request's time on an idle engine.
+	// Service is the duration of a request on an idle engine.
 	Service config.Duration `yaml:"service"`
-	// Crowd is how crowded an engine may be, in requests a slot, for a request to
-	// meet its target.
-	Crowd  float64 `yaml:"crowd"`
-	Demand Demand  `yaml:"demand"`
-	// ReportLag is how old the load is that routers see.
+	// MaxLoadFactor is the highest load factor, in requests per slot, at which a
+	// request still meets its target.
+	MaxLoadFactor float64 `yaml:"crowd"`
+	Demand        Demand  `yaml:"demand"`
+	// ReportLag is the interval at which routers receive the engines' loads.
 	ReportLag config.Duration `yaml:"reportLag"`
-	// LostOrders is the share of orders that get lost.
-	LostOrders float64 `yaml:"lostOrders"`
-	HostLosses []Loss  `yaml:"hostLosses"`
+	// LostOrders is the share of orders that are lost.
+	LostOrders float64    `yaml:"lostOrders"`
+	HostLosses []HostLoss `yaml:"hostLosses"`
 }
 
-// Demand describes the requests.
+// Demand describes the request load.
 type Demand struct {
-	// Rate is the mean requests a second over all models.
+	// Rate is the mean number of requests a second over all models.
 	Rate float64 `yaml:"rate"`
-	// Skew is the exponent of the models' popularity.
+	// Skew is the exponent of the Zipf distribution of the models' popularity.
 	Skew float64 `yaml:"skew"`
-	// Shift is how often popularity moves on to other models.
+	// Shift is the interval at which the popularity shifts to other models.
 	Shift config.Duration `yaml:"shift"`
-	// Bursts multiply the demand for a few models for a while.
+	// During a burst, the demand for BurstModels models is multiplied by BurstFactor.
 	BurstEvery  config.Duration `yaml:"burstEvery"`
 	BurstLength config.Duration `yaml:"burstLength"`
 	BurstFactor float64         `yaml:"burstFactor"`
 	BurstModels int             `yaml:"burstModels"`
 }
 
-// Loss takes a host away for a while.
-type Loss struct {
+// HostLoss makes a host unavailable for a time.
+type HostLoss struct {
 	At   config.Duration `yaml:"at"`
 	Zone int             `yaml:"zone"`
 	Host int             `yaml:"host"`
 	For  config.Duration `yaml:"for"`
 }
 
-// ReadExperiment reads an experiment; unknown keys are errors with their place.
+// ReadExperiment reads an experiment. Unknown keys are reported as findings.
 func ReadExperiment(file string) (Experiment, error) {
 	var e Experiment
 	text, err := os.ReadFile(file)
--- a/src/policy/policies.go
+++ b/src/policy/policies.go
@@ -14,25 +14,25 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Policies are moorspool's own and the baselines.
+// Policies are moorspool's policy and the baselines.
 var Policies = []Policy{
-	{name: "moorspool", placer: newOwn, pick: pickOwn},
-	{name: "static, least reported load", placer: newStatic, pick: pickLeastReported},
-	{name: "static, round robin", placer: newStatic, pick: pickRoundRobin},
-	{name: "replan from nothing", placer: newReplan, pick: pickOwn},
+	{name: "moorspool", placer: newPlannerPlacer, pick: pickByRouter},
+	{name: "static, least reported load", placer: newStaticPlacer, pick: pickLeastReported},
+	{name: "static, round robin", placer: newStaticPlacer, pick: pickRoundRobin},
+	{name: "replan from nothing", placer: newReplanPlacer, pick: pickByRouter},
 }
 
-// own runs the real planners.
-type own struct {
+// plannerPlacer places models with the production planners.
+type plannerPlacer struct {
 	b     *bench
 	zones []*planner.Zone
 }
 
-// endlessLease lets the bench's planners keep their authority.
+// endlessLease keeps the planners' authority valid for the whole simulation.
 const endlessLease = 1000 * time.Hour
 
-func newOwn(b *bench) placer {
-	o := &own{b: b}
+func newPlannerPlacer(b *bench) placer {
+	o := &plannerPlacer{b: b}
 	for _, zone := range b.zones {
 		z := planner.NewZone(zone.name, 1/float64(len(b.zones)), nil)
 		z.SetConfig(b.set)
@@ -47,11 +47,11 @@
 	return o
 }
 
-func (o *own) step(now time.Time) {
+func (o *plannerPlacer) step(now time.Time) {
 	for i, zone := range o.b.zones {
 		for _, e := range zone.engines {
 			if !e.down {
-				o.zones[i].Reported(e.report.Host, e.tick(now), now)
+				o.zones[i].Reported(e.report.Host, e.advance(now), now)
 			}
 		}
 	}
@@ -63,40 +63,42 @@
 				o.zones[i].NoAnswer(send)
 				continue
 			}
-			o.zones[i].Answer(send, e.take(send.Order, o.b.store, now))
+			o.zones[i].Answer(send, e.execute(send.Order, o.b.store, now))
 		}
 	}
 	o.b.updateTables(func(z int) []wire.HostRoute { return o.zones[z].Routes(0).Hosts })
-	o.b.showLoads(now)
+	o.b.refreshLoads(now)
 }
 
-// demand passes what the gateways counted to the planners, as Routes does.
-func (o *own) demand() {
+// demand reports the demand that was counted in each zone to the planners, as
+// gateway.Routes does.
+func (o *plannerPlacer) demand() {
 	reports := make([]wire.DemandReport, len(o.zones))
 	for i, zone := range o.b.zones {
-		names := make([]string, 0, len(zone.busy)+len(zone.missed))
+		names := make([]string, 0, len(zone.busy)+len(zone.unserved))
 		for model := range zone.busy {
 			names = append(names, model)
 		}
-		for model := range zone.missed {
+		for model := range zone.unserved {
 			if zone.busy[model] == 0 {
 				names = append(names, model)
 			}
 		}
 		sort.Strings(names)
 		for _, model := range names {
-			at := o.b.placedBy(model, i)
-			reports[at].Models = append(reports[at].Models, wire.ModelDemand{Model: model, Busy: zone.busy[model].Milliseconds(), Unserved: zone.missed[model]})
+			at := o.b.servingZone(model, i)
+			reports[at].Models = append(reports[at].Models, wire.ModelDemand{Model: model, Busy: zone.busy[model].Milliseconds(), Unserved: zone.unserved[model]})
 		}
-		zone.busy, zone.missed = map[string]time.Duration{}, map[string]int{}
+		zone.busy, zone.unserved = map[string]time.Duration{}, map[string]int{}
 	}
 	for i, report := range reports {
 		o.zones[i].Demand(report)
 	}
 }
 
-// placedBy returns the zone whose copies serve a model's requests from a zone.
-func (b *bench) placedBy(model string, from int) int {
+// servingZone returns the zone whose copies serve the requests for a model that
+// arrive in zone from.
+func (b *bench) servingZone(model string, from int) int {
 	zones := b.set.AssignedZones(model)
 	if len(zones) == 0 || slices.Contains(zones, b.zones[from].name) {
 		return from
@@ -109,7 +111,7 @@
 	return from
 }
 
-// updateTables builds every router's table from the zones' routes.
+// updateTables rebuilds the routing table of every zone from the routes of all zones.
 func (b *bench) updateTables(routes func(z int) []wire.HostRoute) {
 	var all []wire.HostRoute
 	for z := range b.zones {
@@ -125,13 +127,13 @@
 	}
 }
 
-// showLoads lets routers see the engines' load once in a lag.
-func (b *bench) showLoads(now time.Time) {
+// refreshLoads passes the engines' loads to the routers once per ReportLag.
+func (b *bench) refreshLoads(now time.Time) {
 	for _, zone := range b.zones {
-		if now.Sub(zone.seenAt) < b.e.ReportLag.Std() {
+		if now.Sub(zone.loadsSeenAt) < b.e.ReportLag.Std() {
 			continue
 		}
-		zone.seenAt = now
+		zone.loadsSeenAt = now
 		for _, other := range b.zones {
 			for _, e := range other.engines {
 				zone.hosts[e.report.Host].Reported(e.running, 0, now)
@@ -140,9 +142,9 @@
 	}
 }
 
-func pickOwn(z *zoneSim, model string, random *rand.Rand) *fakeEngine {
+func pickByRouter(z *zoneSim, model string, random *rand.Rand) *fakeEngine {
 	for tried, n := (&route.Tried{}), 0; n < 3; n++ {
-		host, verdict := z.table.Pick(z.seenAt, route.Request{Want: route.Want{Model: model}, Tried: tried}, nil, random)
+		host, verdict := z.table.Pick(z.loadsSeenAt, route.Request{Want: route.Want{Model: model}, Tried: tried}, nil, random)
 		if verdict != route.Chosen {
 			return nil
 		}
@@ -151,26 +153,26 @@
 			host.Begin()
 			return e
 		}
-		host.Failed(z.seenAt)
+		host.Failed(z.loadsSeenAt)
 	}
 	return nil
 }
 
-// static places nothing after the start.
-type static struct{ b *bench }
+// staticPlacer keeps the initial placement.
+type staticPlacer struct{ b *bench }
 
-func newStatic(b *bench) placer { return &static{b: b} }
+func newStaticPlacer(b *bench) placer { return &staticPlacer{b: b} }
 
-func (s *static) step(now time.Time) {
+func (s *staticPlacer) step(now time.Time) {
 	for _, zone := range s.b.zones {
 		for _, e := range zone.engines {
-			e.tick(now)
+			e.advance(now)
 		}
 	}
-	s.b.showLoads(now)
+	s.b.refreshLoads(now)
 }
 
-// holders returns the engines with a ready copy, as far as a router knows.
+// holders returns the engines that have a ready copy of a model.
 func (z *zoneSim) holders(model string) []*fakeEngine {
 	var found []*fakeEngine
 	for _, name := range z.order {
@@ -196,38 +198,37 @@
 	if len(holders) == 0 {
 		return nil
 	}
-	z.turn++
-	return holders[z.turn%len(holders)]
+	z.nextHolder++
+	return holders[z.nextHolder%len(holders)]
 }
 
-// replan works the whole placement out anew whenever demand has shifted.
-type replan struct {
+// replanPlacer computes the whole placement from scratch every replanInterval.
+type replanPlacer struct {
 	b    *bench
 	next time.Time
 }
 
-// replanEvery is how often the placement is worked out anew.
-const replanEvery = 10 * time.Second
+const replanInterval = 10 * time.Second
 
-func newReplan(b *bench) placer { return &replan{b: b} }
+func newReplanPlacer(b *bench) placer { return &replanPlacer{b: b} }
 
-func (r *replan) step(now time.Time) {
+func (r *replanPlacer) step(now time.Time) {
 	for _, zone := range r.b.zones {
 		for _, e := range zone.engines {
-			e.tick(now)
+			e.advance(now)
 		}
 	}
 	if !now.Before(r.next) {
-		r.next = now.Add(replanEvery)
+		r.next = now.Add(replanInterval)
 		for z := range r.b.zones {
 			r.apply(z, now)
 		}
 	}
 	r.b.updateTables(func(z int) []wire.HostRoute { return r.routes(z) })
-	r.b.showLoads(now)
+	r.b.refreshLoads(now)
 }
 
-func (r *replan) routes(z int) []wire.HostRoute {
+func (r *replanPlacer) routes(z int) []wire.HostRoute {
 	var routes []wire.HostRoute
 	for _, e := range r.b.zones[z].engines {
 		host := wire.HostRoute{Host: e.report.Host, Zone: r.b.zones[z].name, State: wire.HostLive, Slots: r.b.e.Slots}
@@ -241,16 +242,16 @@
 	return routes
 }
 
-// apply computes a zone's placement from nothing and moves to it, each model's
-// last ready copy staying until another one is ready.
-func (r *replan) apply(z int, now time.Time) {
+// apply computes a zone's placement from scratch and loads and unloads copies to
+// reach it. The last ready copy of a model stays until another one is ready.
+func (r *replanPlacer) apply(z int, now time.Time) {
 	zone := r.b.zones[z]
 	in := place.Input{Spares: true, Weigh: r.b.e.Weigh, Loads: 1 << 20}
 	for _, e := range zone.engines {
 		in.Accelerators = append(in.Accelerators, place.Accelerator{Host: e.report.Host, Free: r.b.e.Memory, Open: !e.down, Slots: r.b.e.Slots})
 	}
 	total := 0.0
-	at := now.Sub(r.b.began)
+	at := now.Sub(r.b.start)
 	for m := range r.b.names {
 		total += r.b.weight(m, at)
 	}
@@ -268,11 +269,11 @@
 		wanted[step.Accelerator][step.Model] = true
 	}
 	for i, e := range zone.engines {
-		r.move(zone, e, wanted[i], now)
+		r.moveTo(zone, e, wanted[i], now)
 	}
 }
 
-func (r *replan) move(zone *zoneSim, e *fakeEngine, wanted map[string]bool, now time.Time) {
+func (r *replanPlacer) moveTo(zone *zoneSim, e *fakeEngine, wanted map[string]bool, now time.Time) {
 	for _, c := range append([]engine.Copy(nil), e.report.Copies...) {
 		if c.Weights.Adapter == "" && !wanted[c.Weights.Model] && len(zone.holders(c.Weights.Model)) > 1 {
 			e.unload(c.Weights)
@@ -286,7 +287,7 @@
 	for _, name := range names {
 		m := r.b.set.Model(name)
 		w := engine.Weights{Model: name, Version: version}
-		if e.find(w) >= 0 || e.used()+r.b.set.Footprint(name) > r.b.e.Memory || e.down {
+		if e.findCopy(w) >= 0 || e.usedMemory()+r.b.set.Footprint(name) > r.b.e.Memory || e.down {
 			continue
 		}
 		e.load(w, m.Memory+m.KVFloor, r.b.store, now)
