--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -217,7 +217,7 @@
 	return wire.LeaseReply{Known: true, Version: lead.Version, Shares: toWire(shares), Usage: usageToWire(usage), Complete: complete}
 }
 
-// Draw grants units that are not leased if this node leads.
+// Draw answers a request for units that are not leased, if this node leads.
 func (g *Granter) Draw(ctx context.Context, request wire.DrawRequest) wire.DrawReply {
 	lead, table := g.leadingTable()
 	if table == nil {
--- a/src/feed/follower.go
+++ b/src/feed/follower.go
@@ -50,8 +50,8 @@
 	Replicas func(registry.Changes)
 	// Holdings receives newer holdings.
 	Holdings func(*wire.Holdings)
-	// Quarantine receives the quarantined request contents: those that replicas were running when
-	// they ended.
+	// Quarantine receives the suspected and quarantined request contents: those that replicas were
+	// running when they ended.
 	Quarantine func([]quarantine.Entry)
 	// Drains receives newer drained zones, before the replicas of the same update.
 	Drains func(*wire.ZoneDrains)
@@ -61,7 +61,7 @@
 	Loads func(wire.LoadReport)
 	// Backlogs receives the prompts that replicas have yet to read.
 	Backlogs func(wire.Backlogs)
-	// Limits receives which replicas report a limit.
+	// Limits receives the rate limits of replicas, including those that have ended.
 	Limits func(wire.Limits)
 }
 
--- a/src/feed/notify.go
+++ b/src/feed/notify.go
@@ -25,7 +25,8 @@
 }
 
 // NotifyNearest sends a notification to the most preferred healthy control node, or to any
-// connected one if none is healthy. The choice does not change while that node stays healthy.
+// connected one if none is healthy. It chooses the same node until that one is no longer healthy or
+// a more preferred one becomes healthy.
 func (f *Follower) NotifyNearest(ctx context.Context, method string, params any) {
 	if client := f.bestClient(); client != nil {
 		_ = client.Notify(ctx, method, params)
--- a/src/feed/peerdocument.go
+++ b/src/feed/peerdocument.go
@@ -43,8 +43,8 @@
 
 // Document returns the newest configuration that this node has applied, or the one fetched from
 // another node while this one lacks it. A configuration that any node has applied is committed, so
-// it is safe to use. Otherwise a minority node without a leader, for instance after a power loss,
-// would make all its gateways switch nodes or use an outdated configuration.
+// it is safe to use. If a node served only its own, a minority node without a leader, for instance
+// after a power loss, would make all its gateways switch nodes or use an outdated configuration.
 func (r *Relay) Document() wire.Document {
 	own := r.cluster.Document()
 	r.mu.Lock()
--- a/src/feed/relay.go
+++ b/src/feed/relay.go
@@ -189,8 +189,8 @@
 }
 
 // refreshKeepalive sets the number of gateways and the time of the configuration's confirmation,
-// which go out with the next keepalives. Sent at once, each gateway that connects to any node would
-// cause an update for all others. The caller holds the lock.
+// which go out with the next keepalives. If they were sent at once, each gateway that connects to
+// any node would cause an update for all others. The caller holds the lock.
 func (r *Relay) refreshKeepalive(next relayState) {
 	r.state.gateways = next.gateways
 	r.state.confirmedAt = next.confirmedAt
--- a/src/feed/selection_test.go
+++ b/src/feed/selection_test.go
@@ -134,8 +134,8 @@
 	is.True(f.Known().Confirmed.IsZero())
 }
 
-// TestTheOwnZonesControlNodeIsFollowedAsSoonAsItIsKnown checks it while another node is being
-// followed.
+// TestTheOwnZonesControlNodeIsFollowedAsSoonAsItIsKnown covers a gateway that is already following
+// another node.
 func TestTheOwnZonesControlNodeIsFollowedAsSoonAsItIsKnown(t *testing.T) {
 	is := is.New(t)
 	f := newDisconnectedGateway(t, fiveNodes[:2]...)
--- a/src/loadview/backlog_test.go
+++ b/src/loadview/backlog_test.go
@@ -17,8 +17,8 @@
 	return all
 }
 
-// TestBacklogIsSentTimeMinusElapsedTime checks it for prompts from any gateway, reported directly
-// or by another control node.
+// TestBacklogIsSentTimeMinusElapsedTime checks the estimate for prompts from any gateway, reported
+// directly or by another control node.
 func TestBacklogIsSentTimeMinusElapsedTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBacklog()
--- a/src/placer/ledger.go
+++ b/src/placer/ledger.go
@@ -63,9 +63,9 @@
 	backoffUntil time.Time
 	backingOff   bool
 	leaving      bool
-	// rateLimit is the number of requests a second that the replica accepts, since limitedSince,
-	// while limited is set. underCapacity is set while its copies are ignored because the limit is
-	// below the demand.
+	// limited is set while the replica has a rate limit, which it has had since limitedSince;
+	// rateLimit is the number of requests a second that it accepts then. underCapacity is set while
+	// its copies are ignored because the limit is below the demand.
 	rateLimit     float64
 	limited       bool
 	limitedSince  time.Time
--- a/src/placer/limited.go
+++ b/src/placer/limited.go
@@ -6,8 +6,8 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// limitGracePeriod is how long the rate limit of a replica has to be below the demand before its
-// copies are ignored. A load from the store takes longer than most limits last.
+// limitGracePeriod is how long a replica has to be limited before its copies are ignored if the
+// limit is below the demand. A load from the store takes longer than most limits last.
 const limitGracePeriod = 3 * time.Second
 
 // SetLimits sets the rate limits of replicas in requests a second; replicas that are not in limits
@@ -26,9 +26,9 @@
 }
 
 // updateUnderCapacity determines the replicas whose copies are ignored, as if they were lost: those
-// whose rate limit has been below their demand for the grace period. If more than half of the
-// replicas of a service are limited, other replicas are no better and all copies count. The lock is
-// held.
+// that have been limited for the grace period and whose limit is below their demand. If more than
+// half of the replicas of a service are limited, other replicas are no better and all copies count.
+// The lock is held.
 func (p *Placer) updateUnderCapacity(now time.Time, s *catalog.Service, replicas []*replicaState) {
 	copyCounts := map[string]int{}
 	limited := 0
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -64,6 +64,7 @@
 
 // Options configure a placer.
 type Options struct {
+	// Holder is the name of this node in its orders; see Order.
 	Holder string
 	Calls  Calls
 	// Leading returns the current leadership; it is called right before each order.
--- a/src/quarantine/table.go
+++ b/src/quarantine/table.go
@@ -312,9 +312,9 @@
 	return entries
 }
 
-// Entries returns the contents that have at least minFailures failures or were cleared. A content
-// with a single failure is of no use to other gateways, and after the loss of a zone there are
-// thousands.
+// Entries returns the contents that have at least the given number of failures or were cleared. A
+// content with a single failure is of no use to other gateways, and after the loss of a zone there
+// are thousands.
 func (t *Table) Entries(now time.Time, failures int) []Entry {
 	entries, _ := t.collect(now, func(e *entry) bool { return len(e.failures) >= failures || e.round > 0 })
 	return entries
--- a/src/quota/allocator.go
+++ b/src/quota/allocator.go
@@ -78,8 +78,8 @@
 	refusedUnits float64
 	refusedAt    time.Time
 	leases       map[string]lease
-	// leasedRate is the rate leased to holders; since leasedRateAt it counts as used as time
-	// passes. spent is the leased rate plus the units taken from the unleased bucket and the
+	// leasedRate is the rate leased to holders, which counts as spent in full as time passes. spent
+	// includes it up to leasedRateAt, and the units taken from the unleased bucket and the
 	// extension.
 	leasedRate   float64
 	leasedRateAt time.Time
@@ -167,7 +167,7 @@
 	a.leases[holder] = lease{rate: reported.Rate, expires: expires, demand: reported.Demand, demandAt: now}
 	rate := d.fairRate(now, a, holder)
 	if a.extension.inUse(now) {
-		// Leases can't be revoked early, so the remaining rate is left to the extension.
+		// Leases can't be revoked early, so nothing is leased and all is left to the extension.
 		rate = 0
 	}
 	available := leasableFraction*a.limit.Rate - d.leasedExcept(now, a, holder)
--- a/src/quota/usage.go
+++ b/src/quota/usage.go
@@ -95,7 +95,7 @@
 		a.spent.add(d.known.receivedAt.Add(-time.Duration(i)*part), usage.Used[i])
 	}
 	since := d.startedAt.Sub(d.known.requestedAt).Seconds()
-	// Units given back by holders may have been maxSaved since, too.
+	// Units that holders gave back may have refilled the bucket since, too.
 	maxSaved := usage.Level + d.terms.maxSaved(a.limit)
 	a.spent.add(d.startedAt, max(since, 0)*a.limit.Rate+maxSaved+max(recorded-usage.Extended, 0))
 	a.extension.used.add(d.startedAt, max(recorded, usage.Extended))
--- a/src/ratelimit/limitstate.go
+++ b/src/ratelimit/limitstate.go
@@ -47,8 +47,8 @@
 // force changes.
 //
 // Answers arrive out of order, and the clocks of hosts differ. An answer to a request with a permit
-// was given after the permit was issued, so the answer to the later permit wins. An answer without
-// a permit counts as new if it announces a limit, and is ignored if it announces none.
+// was given after the permit was issued, so the answer to the later permit wins. An answer to a
+// request without a permit counts as new if it announces a stricter limit, and is ignored otherwise.
 func (k *knownLimit) update(term, newest uint64, w Word) (changed bool) {
 	if !w.Heard {
 		return k.restore(newest, w.State)
--- a/src/ratelimit/standin.go
+++ b/src/ratelimit/standin.go
@@ -27,8 +27,8 @@
 // to be newer than known ones.
 //
 // The permits of each StandIn come at fixed times with a random phase, and a permit that is not
-// used within Life is lost. All of them start together when the leader is lost, and if unused
-// permits were kept, as many requests would be sent at once as there are processes.
+// used within Life is lost. Every StandIn starts at the same moment when the leader is lost: if
+// unused permits were kept, as many requests would be sent at once as there are processes.
 type StandIn struct {
 	// random returns a number from 0 to 1.
 	random func() float64
--- a/src/ratelimit/standin_test.go
+++ b/src/ratelimit/standin_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Control nodes and gateways without a leader together stay within half of the rate, beside an
-// issuer.
+// Control nodes and gateways that reach no issuer together stay within half of the rate, since an
+// issuer that they are cut off from may use all of it.
 func TestFallbackIssuersStayWithinTheirShares(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
--- a/src/rebalance/plan.go
+++ b/src/rebalance/plan.go
@@ -283,9 +283,9 @@
 	return m.IdleFor >= idleAfter && m.Work <= maxIdleWork && !m.RequestsWaited
 }
 
-// yieldsTo reports whether an idle model's last copy may be evicted for a model that requests wait
-// for, regardless of the copies of other models. The idle model is loaded again when it is
-// requested.
+// yieldsTo reports whether an idle model's last copy may be evicted for a model that has no copy
+// and that requests wait for, regardless of the copies of other models. The idle model is loaded
+// again when it is requested.
 func (m *modelState) yieldsTo(model *modelState) bool {
 	return m.all == 1 && m.idle() && model.all == 0 && model.RequestsWaited
 }
@@ -308,9 +308,9 @@
 	return m.loss()
 }
 
-// mayEvict reports whether a copy may be evicted for a model. The last ready copy may only be
-// evicted if it belongs to an idle model and requests wait for the other model or, while no model
-// has a spare copy, if the other model has no copy and much more work.
+// mayEvict reports whether a copy of other may be evicted for a copy of model. The last ready copy
+// may be evicted in two cases only: if other yields to model, or if model has no copy and much more
+// work while no model has a spare copy.
 func (s *state) mayEvict(other, model *modelState) bool {
 	if other.ready > 1 || other.yieldsTo(model) {
 		return true
--- a/src/registry/directory.go
+++ b/src/registry/directory.go
@@ -157,8 +157,8 @@
 }
 
 // reassign gives the address and name of a replica that has become silent to another start that
-// still sends heartbeats, if there is one. Otherwise they would get no requests any more after a
-// late heartbeat of an ended start was processed last, or after a host's clock was set back.
+// still sends heartbeats, if there is one. Otherwise the running start would get no requests any
+// more if a late heartbeat of an ended start was processed last, or if a host's clock was set back.
 func (d *Directory) reassign(silent *entry) {
 	var latest *entry
 	for _, e := range d.entries {
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -186,7 +186,8 @@
 	is.Equal(len(d.Since(d.Stamp()-1)), 1) // and gateways are sent the change
 }
 
-// TestBecomingColdAgainIsAChange checks this and that a replica that warms up is not a change.
+// TestBecomingColdAgainIsAChange checks that subscribers learn of a replica that becomes cold again,
+// and are not sent one that only warms up.
 func TestBecomingColdAgainIsAChange(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Times{Silence: time.Minute, Forget: time.Hour})
