--- a/src/control/apply.go
+++ b/src/control/apply.go
@@ -20,7 +20,7 @@
 	if request.Change.ID == "" {
 		return wire.ApplyReply{Outcome: wire.Refused, Reason: "the change has no id"}, nil
 	}
-	lead := s.leadership()
+	lead := s.leaderInfo()
 	if lead.self {
 		return s.applyAsLeader(ctx, request), nil
 	}
--- a/src/control/control_bench_test.go
+++ b/src/control/control_bench_test.go
@@ -80,7 +80,7 @@
 	b.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		for _, k := range controlNodes {
-			if k.service.leadership().self {
+			if k.service.leaderInfo().self {
 				return k
 			}
 		}
@@ -154,7 +154,7 @@
 	leader.server.Close()
 	for i := 0; time.Since(began) < 10*time.Second; i++ {
 		for _, k := range controlNodes {
-			if k != leader && k.service.leadership().self && benchChange(context.Background(), k, fmt.Sprint("after", i)) == wire.Accepted {
+			if k != leader && k.service.leaderInfo().self && benchChange(context.Background(), k, fmt.Sprint("after", i)) == wire.Accepted {
 				return time.Since(began)
 			}
 		}
--- a/src/control/grant.go
+++ b/src/control/grant.go
@@ -22,7 +22,7 @@
 )
 
 func (s *Service) grant(ctx context.Context, _ *rpc.Peer, request wire.GrantRequest) (wire.GrantReply, error) {
-	lead := s.leadership()
+	lead := s.leaderInfo()
 	if !lead.self {
 		reply := wire.GrantReply{Outcome: wire.Unavailable, Reason: "no leader among the control nodes is in reach"}
 		_, err := s.callLeader(ctx, lead.leader, wire.MethodGrant, request, &reply)
--- a/src/control/members.go
+++ b/src/control/members.go
@@ -14,7 +14,7 @@
 // Errors that prevent a control node from starting.
 var (
 	// ErrRolledBack means that the disk is missing entries that this node had acknowledged.
-	ErrRolledBack = errors.New("the data folder is older than the state that this control node has acknowledged; empty the folder and the control node will join again")
+	ErrRolledBack = errors.New("the data folder is older than what this control node confirmed before; empty it, and the control node will join anew")
 	// ErrInstallationExists means that a node with an empty folder was told to found an
 	// installation that already exists.
 	ErrInstallationExists = errors.New("the installation already exists; start without --found to join it")
@@ -24,7 +24,7 @@
 const serviceMembershipInterval = 300 * time.Millisecond
 
 func (s *Service) members(ctx context.Context, _ *rpc.Peer, request wire.MembersRequest) (wire.MembersReply, error) {
-	lead := s.leadership()
+	lead := s.leaderInfo()
 	if !lead.self {
 		reply := wire.MembersReply{Outcome: wire.Unavailable, Reason: "no leader among the control nodes is in reach"}
 		_, err := s.callLeader(ctx, lead.leader, wire.MethodMembers, request, &reply)
@@ -173,7 +173,7 @@
 }
 
 func (s *Service) reportSeen(ctx context.Context) {
-	lead := s.leadership()
+	lead := s.leaderInfo()
 	names := s.nodes.recentNames(s.now())
 	client := s.clients[lead.leader]
 	if lead.self || client == nil {
--- a/src/control/quorum.go
+++ b/src/control/quorum.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%d of %d voters heard, %d learners", q.Heard, q.Voters, q.Learners)
 }
 
-// Quorum returns the membership as of the last loop iteration. It does not wait for the event loop,
-// which may be blocked by the disk: metrics must be available especially while a disk is slow.
+// Quorum returns the membership as of the last loop iteration. It does not wait for the event loop:
+// metrics must be available especially while a disk is slow.
 func (c *Cluster) Quorum() Quorum { return c.node.currentView().quorum }
 
 func quorumOf(r *Replica, now time.Time) Quorum {
--- a/src/control/quorum_test.go
+++ b/src/control/quorum_test.go
@@ -11,7 +11,7 @@
 	"github.com/moorspool/moorspool/src/raft"
 )
 
-// Reading the quorum used to wait for the event loop, which waits for the disk, up to 1 s beside
+// Reading the quorum used to wait for the event loop, and the loop for the disk, up to 1 s next to
 // other heavy writers. In one run a control node served no metrics within a second; it is not
 // proven that this was the cause.
 func TestTheMembershipIsToldWhileTheDiskHangs(t *testing.T) {
--- a/src/control/service.go
+++ b/src/control/service.go
@@ -80,14 +80,14 @@
 	return wire.Empty{}, nil
 }
 
-// leadership says whether this control node leads, and otherwise which one does.
-type leadership struct {
+// leaderInfo says whether this control node leads, and otherwise which one does.
+type leaderInfo struct {
 	self   bool
 	leader string
 }
 
-func (s *Service) leadership() leadership {
-	var l leadership
+func (s *Service) leaderInfo() leaderInfo {
+	var l leaderInfo
 	s.node.Do(func(time.Time) {
 		core := s.node.replica.core
 		l.self = core.Role() == raft.Leader
@@ -109,7 +109,7 @@
 }
 
 func (s *Service) claim(ctx context.Context, _ *rpc.Peer, request wire.ClaimRequest) (wire.ClaimReply, error) {
-	lead := s.leadership()
+	lead := s.leaderInfo()
 	if !lead.self {
 		reply := wire.ClaimReply{Outcome: wire.Unavailable}
 		reached, err := s.callLeader(ctx, lead.leader, wire.MethodClaim, request, &reply)
@@ -157,7 +157,7 @@
 }
 
 func (s *Service) settle(ctx context.Context, _ *rpc.Peer, request wire.SettleRequest) (wire.SettleReply, error) {
-	lead := s.leadership()
+	lead := s.leaderInfo()
 	if !lead.self {
 		reply := wire.SettleReply{Outcome: wire.Unavailable}
 		_, err := s.callLeader(ctx, lead.leader, wire.MethodSettle, request, &reply)
--- a/src/control/settled.go
+++ b/src/control/settled.go
@@ -4,8 +4,9 @@
 const maxVersions = 64
 
 // changeIndex remembers the log entries of the newest configurations and zone orders. With it, a
-// resent change is acknowledged as soon as the original entry is settled. This matters when a disk
-// sync takes longer than a call: no single call then lasts until its own entry is settled.
+// resent change is acknowledged as soon as the original entry is settled, whichever copy caused that.
+// This matters when a disk sync takes longer than a call: no single call then lasts until its own
+// entry is settled.
 type changeIndex struct {
 	// versions holds the most recent versions in force, oldest first.
 	versions []versionEntry
--- a/src/control/slow_disk_test.go
+++ b/src/control/slow_disk_test.go
@@ -85,7 +85,7 @@
 	return false
 }
 
-// With slow disks, for example beside other heavy writers, no configuration change, drain or claim
+// With slow disks, for example next to other heavy writers, no configuration change, drain or claim
 // was served any more. The event loops waited for their disks, heartbeats were neither sent nor
 // answered, the leader's lease and the election timeouts expired, and an election needed two
 // consecutive syncs, which took longer than the timeout for the next one. With syncs of 150 ms
--- a/src/control/view.go
+++ b/src/control/view.go
@@ -19,8 +19,8 @@
 	extensions map[string]float64
 	drains     *wire.ZoneDrains
 	quorum     Quorum
-	// readLeaseUntil is until when the node may treat its applied state as the newest: it leads and
-	// holds a valid lease. It is the zero time otherwise.
+	// readLeaseUntil is until when the node may treat its applied state as the newest, the zero time
+	// if it may not; see raft.Core.HasReadLease.
 	readLeaseUntil time.Time
 	// confirmedAt is when a leader last confirmed that nothing newer is committed.
 	confirmedAt time.Time
@@ -39,7 +39,7 @@
 		extensions:     r.state.extensions,
 		drains:         r.state.drains,
 		quorum:         quorumOf(r, now),
-		readLeaseUntil: r.core.ReadSafeUntil(),
+		readLeaseUntil: r.core.ReadLeaseUntil(),
 
 		confirmedAt: r.core.Confirmed(),
 		writeBegan:  r.core.WriteBegan(),
--- a/src/control/view_test.go
+++ b/src/control/view_test.go
@@ -68,7 +68,7 @@
 	beat := noon.Add(100 * time.Millisecond)
 	replyFrom(core, beat, "b#0", "c#0")
 	persist(core, beat)
-	until := core.ReadSafeUntil()
+	until := core.ReadLeaseUntil()
 	is.True(until.After(beat))
 	now := until.Add(time.Second)
 	core.Step(now, raft.Message{Kind: raft.MsgAppend, From: "b#0", To: "a#0", Term: core.Term() + 1, Index: 99, LogTerm: 99, Commit: 99})
--- a/src/control/zoneorder.go
+++ b/src/control/zoneorder.go
@@ -119,7 +119,7 @@
 // zoneInState reports whether a zone is known to be in the state that an order requests, so that no
 // proposal is needed.
 func (r *Replica) zoneInState(now time.Time, order *wire.ZoneOrder) bool {
-	return r.core.ReadSafe(now) && r.state.zones[order.Zone].Drained == order.Drain
+	return r.core.HasReadLease(now) && r.state.zones[order.Zone].Drained == order.Drain
 }
 
 // zoneDeferral says why an order is not carried out now, and how long to wait.
--- a/src/raft/core.go
+++ b/src/raft/core.go
@@ -114,7 +114,8 @@
 	// ledSince is when this node was last elected.
 	ledSince time.Time
 	// leaderCommit is the commit index in the leader's latest message, received at leaderSeenAt.
-	// confirmedAt is leaderSeenAt of the latest message whose commit index had been applied here.
+	// confirmedAt is leaderSeenAt of the latest message whose commit index had been applied here, or
+	// the end of this node's own read lease as a leader if that is later.
 	leaderCommit uint64
 	confirmedAt  time.Time
 	// noVoteUntil prevents a restarted control node from voting while the lease of a leader that it
--- a/src/raft/core_test.go
+++ b/src/raft/core_test.go
@@ -26,7 +26,7 @@
 	is := is.New(t)
 	c := restartedCore(2, 3)
 	is.Equal(len(c.Ready(startTime).Committed), 2) // the third may still be replaced by another leader
-	is.True(!c.ReadSafe(startTime))                // other nodes may have later entries
+	is.True(!c.HasReadLease(startTime))            // other nodes may have later entries
 }
 
 func TestRestartAppliesOnlyEntriesOnDisk(t *testing.T) {
--- a/src/raft/lease.go
+++ b/src/raft/lease.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// ReadSafe reports whether this node's applied state includes every committed change:
-// it is the leader with a valid lease and has committed an entry of its own term.
-func (c *Core) ReadSafe(now time.Time) bool { return now.Before(c.ReadSafeUntil()) }
+// HasReadLease reports whether this node's applied state includes every committed change:
+// it is the leader with a valid lease, has committed an entry of its own term and has applied
+// everything committed.
+func (c *Core) HasReadLease(now time.Time) bool { return now.Before(c.ReadLeaseUntil()) }
 
-// ReadSafeUntil returns when ReadSafe stops holding if nothing changes, or the zero time if it
+// ReadLeaseUntil returns when HasReadLease stops holding if nothing changes, or the zero time if it
 // does not hold now.
-func (c *Core) ReadSafeUntil() time.Time {
+func (c *Core) ReadLeaseUntil() time.Time {
 	if !c.committedInTerm() || c.applied != c.commit {
 		return time.Time{}
 	}
@@ -19,8 +20,8 @@
 }
 
 // Confirmed returns the latest time at which this node, as a follower, heard from a leader and had
-// applied everything the leader had committed; or at which it was a leader for which ReadSafe held,
-// once it has stepped down. It is the zero time if there was none. For a current leader use ReadSafe.
+// applied everything the leader had committed; or at which it was a leader for which HasReadLease held,
+// once it has stepped down. It is the zero time if there was none. For a current leader use HasReadLease.
 func (c *Core) Confirmed() time.Time { return c.confirmedAt }
 
 // confirmApplied updates confirmedAt if everything the leader last reported as committed is applied.
@@ -30,9 +31,9 @@
 	}
 }
 
-// confirmAsLeader sets confirmedAt to the latest time ReadSafe held, before a leader steps down.
+// confirmAsLeader sets confirmedAt to the latest time HasReadLease held, before a leader steps down.
 func (c *Core) confirmAsLeader(now time.Time) {
-	until := c.ReadSafeUntil()
+	until := c.ReadLeaseUntil()
 	if until.After(now) {
 		until = now
 	}
--- a/src/store/quarantine.go
+++ b/src/store/quarantine.go
@@ -2,12 +2,12 @@
 
 import "github.com/moorspool/moorspool/src/quarantine"
 
-// quarantineFile is the file with the quarantined request contents.
+// quarantineFile is the file with the suspected and quarantined request contents.
 const quarantineFile = "quarantine"
 
-// QuarantineFile stores the quarantine entries of a control node, which are request contents that
-// replicas terminated on. It keeps them blocked after a power loss of all nodes. It is safe for
-// concurrent use.
+// QuarantineFile stores the quarantine entries of a control node: the request contents that replicas
+// were running when they ended. Without it these contents would be sent to replicas again after a
+// power loss of all nodes. It is safe for concurrent use.
 type QuarantineFile struct {
 	list listFile[quarantine.Entry]
 }
--- a/src/wire/document.go
+++ b/src/wire/document.go
@@ -89,7 +89,7 @@
 	Gateways int `json:"gateways,omitempty"`
 	// Holdings is the leader's knowledge of model copies beyond what replicas have reported.
 	Holdings *Holdings `json:"holdings,omitempty"`
-	// Quarantine is the node's quarantine list if it changed.
+	// Quarantine lists the suspected and quarantined contents that the node knows, if they changed.
 	Quarantine *Quarantine `json:"quarantine,omitempty"`
 	// Drains lists the drained zones if they changed.
 	Drains *ZoneDrains `json:"drains,omitempty"`
--- a/src/wire/method.go
+++ b/src/wire/method.go
@@ -84,9 +84,10 @@
 	MethodPermitIssue = "warmup.issue"
 	// MethodLimits tells gateways and control nodes which replicas are limited (notification).
 	MethodLimits = "limits.told"
-	// MethodQuarantine tells a control node about request contents that replicas terminated on.
+	// MethodQuarantine tells a control node about request contents that replicas were running when they
+	// ended.
 	MethodQuarantine = "quarantine.told"
-	// MethodQuarantineList asks a control node for its quarantine list.
+	// MethodQuarantineList asks a control node for all suspected and quarantined contents that it knows.
 	MethodQuarantineList = "quarantine.list"
 	// MethodQuarantineLift asks a control node to remove a request content from quarantine.
 	MethodQuarantineLift = "quarantine.lift"
--- a/src/wire/quarantine.go
+++ b/src/wire/quarantine.go
@@ -2,7 +2,8 @@
 
 import "github.com/moorspool/moorspool/src/quarantine"
 
-// Quarantine lists quarantined request contents: replicas terminated while they ran requests with them.
+// Quarantine lists suspected and quarantined request contents: replicas ended while they ran requests
+// with them.
 type Quarantine struct {
 	Entries []quarantine.Entry `json:"q"`
 }
