--- a/src/fleet/calls.go
+++ b/src/fleet/calls.go
@@ -13,14 +13,14 @@
 	return Calls{
 		Put:  c.put,
 		Read: c.read,
-		Refused: func(reason string) {
+		ConfigurationRefused: func(reason string) {
 			c.proc.Ring().Add(event.Event{Kind: event.ConfigRefused, Reason: reason})
 		},
-		OrderZone: c.orderZone,
-		Hear:      c.publisher.Hear,
-		Misread:   c.misread,
-		Unknown:   c.unknown.note,
-		Remove:    c.publisher.Remove,
+		OrderZone:        c.orderZone,
+		Hear:             c.publisher.Hear,
+		HeartbeatRefused: c.misread,
+		UnknownFields:    c.unknown.note,
+		Remove:           c.publisher.Remove,
 	}
 }
 
--- a/src/fleet/interface.go
+++ b/src/fleet/interface.go
@@ -25,12 +25,12 @@
 	Calls func(Calls) http.Handler
 }
 
-// ZoneAnswer is what an operator is answered to an order about an availability zone.
-type ZoneAnswer struct {
+// ZoneOrderResult is what an operator is answered to an order about an availability zone.
+type ZoneOrderResult struct {
 	// Done is set once the order is durable.
 	Done bool
-	// Unknown is set if there is no such zone; the order must not be sent again.
-	Unknown bool
+	// UnknownZone is set if there is no such zone; the order must not be sent again.
+	UnknownZone bool
 	// Reason says why it was not done.
 	Reason string
 	// RetryAfter is after how long to send it again, 0 if at once.
@@ -43,16 +43,16 @@
 	Put func(ctx context.Context, version uint64, raw []byte) bool
 	// Read returns the newest accepted configuration if this node can be sure of it.
 	Read func(ctx context.Context) (raw []byte, known bool)
-	// Refused learns of an invalid configuration.
-	Refused func(reason string)
+	// ConfigurationRefused learns of an invalid configuration.
+	ConfigurationRefused func(reason string)
 	// OrderZone drains an availability zone, or ends that.
-	OrderZone func(ctx context.Context, zone string, drain bool) ZoneAnswer
+	OrderZone func(ctx context.Context, zone string, drain bool) ZoneOrderResult
 	// Hear takes in a replica's call; it reports whether to acknowledge it.
 	Hear func(ctx context.Context, record registry.Record) bool
-	// Misread learns of a replica's call that could not be read as one, with the reason.
-	Misread func(name, reason string)
-	// Unknown learns of fields of a replica's call that the product does not know.
-	Unknown func(name string, fields []string)
+	// HeartbeatRefused learns of a replica's call that could not be read as one, with the reason.
+	HeartbeatRefused func(name, reason string)
+	// UnknownFields learns of fields of a replica's call that the product does not know.
+	UnknownFields func(name string, fields []string)
 	// Remove takes in that a replica ends.
 	Remove func(ctx context.Context, id string) bool
 }
--- a/src/fleet/zone.go
+++ b/src/fleet/zone.go
@@ -16,33 +16,33 @@
 const callerWait = 20 * time.Millisecond
 
 // orderZone carries out an operator's order to drain an availability zone, or to end that.
-func (c *controlNode) orderZone(ctx context.Context, zone string, drain bool) ZoneAnswer {
+func (c *controlNode) orderZone(ctx context.Context, zone string, drain bool) ZoneOrderResult {
 	return c.orderZoneBy(ctx, zone, drain, "a call")
 }
 
 // orderZoneBy is orderZone with who asks, for the log.
-func (c *controlNode) orderZoneBy(ctx context.Context, zone string, drain bool, by string) ZoneAnswer {
+func (c *controlNode) orderZoneBy(ctx context.Context, zone string, drain bool, by string) ZoneOrderResult {
 	note := func(kind event.Kind, reason string) {
 		c.proc.Ring().Add(event.Event{Kind: kind, Zone: zone, Reason: describeOrder(drain, by, reason)})
 	}
 	if _, known := c.settings.Zones[zone]; !known && len(c.settings.Zones) > 0 {
 		reason := fmt.Sprintf("there is no availability zone %q", zone)
 		note(event.ZoneOrderRefused, reason)
-		return ZoneAnswer{Unknown: true, Reason: reason}
+		return ZoneOrderResult{UnknownZone: true, Reason: reason}
 	}
 	select {
 	case <-ctx.Done():
 		note(event.ZoneOrderRefused, "the caller has hung up")
-		return ZoneAnswer{Reason: "the caller has hung up"}
+		return ZoneOrderResult{Reason: "the caller has hung up"}
 	case <-time.After(callerWait):
 	}
 	reply := c.cluster.OrderZone(ctx, zone, drain)
 	if reply.Outcome != wire.Accepted {
 		note(event.ZoneOrderRefused, string(reply.Outcome)+": "+reply.Reason)
-		return ZoneAnswer{Reason: reply.Reason, RetryAfter: time.Duration(reply.RetryMS) * time.Millisecond}
+		return ZoneOrderResult{Reason: reply.Reason, RetryAfter: time.Duration(reply.RetryMS) * time.Millisecond}
 	}
 	note(event.ZoneOrdered, "")
-	return ZoneAnswer{Done: true}
+	return ZoneOrderResult{Done: true}
 }
 
 // describeOrder says in a log line what was ordered by whom, and why it was not done.
@@ -70,7 +70,7 @@
 		got := c.orderZoneBy(ctx, request.Zone, request.Drain, request.By)
 		reply := wire.ZoneReply{Outcome: wire.Accepted, Reason: got.Reason, RetryMS: got.RetryAfter.Milliseconds()}
 		switch {
-		case got.Unknown:
+		case got.UnknownZone:
 			reply.Outcome = wire.Refused
 		case !got.Done:
 			reply.Outcome = wire.Unavailable
