--- a/src/fleet/admission.go
+++ b/src/fleet/admission.go
@@ -14,17 +14,18 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
+// quotaTerms converts the settings of quotas.
 func quotaTerms(s option.QuotaSetting) quota.Terms {
 	return quota.NewTerms(s.Window.Std(), s.Overage, s.Slack)
 }
 
-// askAdmission asks the nearest control node.
+// askAdmission asks the nearest control node to admit a request.
 func (g *gateway) askAdmission(ctx context.Context, request wire.AdmitRequest) (wire.AdmitReply, error) {
 	return feed.Ask[wire.AdmitReply](ctx, g.follower, wire.MethodAdmit, request)
 }
 
-// inForce returns the version of the configuration that the gateway acts on, and whether
-// that wants keys.
+// inForce returns the version of the configuration that the gateway uses, and whether it requires
+// API keys.
 func (g *gateway) inForce() (version uint64, keyed bool) {
 	table := g.handler.Table()
 	if table == nil {
@@ -33,7 +34,7 @@
 	return table.Version(), table.Keyed()
 }
 
-// buildGranter makes what admits the gateways' requests.
+// buildGranter creates what admits the gateways' requests, and registers its methods.
 func (c *controlNode) buildGranter() {
 	c.granter = admission.NewGranter(admission.GranterOptions{
 		Node:       c.settings.Peer(),
@@ -59,10 +60,10 @@
 
 // table returns the newest configuration that this node has applied.
 func (c *controlNode) table() *catalog.Table {
-	return c.tables.get(c.cluster.Version(), c.cluster.Document)
+	return c.tableCache.get(c.cluster.Version(), c.cluster.Document)
 }
 
-// leadership returns what the granter has to know of this node.
+// leadership returns what the granter needs to know of this node's leadership.
 func (c *controlNode) leadership() admission.Leadership {
 	lead := c.cluster.Leadership()
 	if !lead.Self {
@@ -71,7 +72,7 @@
 	return admission.Leadership{Self: true, Version: lead.Version, Term: lead.Term, Members: c.cluster.Members(), Extensions: lead.Extensions}
 }
 
-// askLease reports to the leader.
+// askLease requests a lease from the leader, which may be this node.
 func (c *controlNode) askLease(ctx context.Context, request wire.LeaseRequest) (wire.LeaseReply, error) {
 	if reply := c.granter.Lease(request); reply.Known {
 		return reply, nil
@@ -81,7 +82,7 @@
 	return reply, err
 }
 
-// askDraw asks the leader for what no control node has.
+// askDraw asks the leader for quota that no control node holds.
 func (c *controlNode) askDraw(ctx context.Context, request wire.DrawRequest) (wire.DrawReply, error) {
 	if reply := c.granter.Draw(ctx, request); reply.Admission != wire.Unsure {
 		return reply, nil
--- a/src/fleet/calls.go
+++ b/src/fleet/calls.go
@@ -8,7 +8,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// calls returns the functions behind the calls of operators and replicas.
+// calls returns the functions that handle requests of operators and replicas.
 func (c *controlNode) calls() Calls {
 	return Calls{
 		Put:  c.put,
@@ -18,18 +18,19 @@
 		},
 		OrderZone:        c.orderZone,
 		Hear:             c.publisher.Hear,
-		HeartbeatRefused: c.misread,
+		HeartbeatRefused: c.heartbeatRefused,
 		UnknownFields:    c.unknown.note,
 		Remove:           c.publisher.Remove,
 	}
 }
 
-// misread notes a replica's call that can't be one: another writer's, whose word changes nothing.
-func (c *controlNode) misread(name, reason string) {
+// heartbeatRefused records a malformed heartbeat; it changes nothing of the replica.
+func (c *controlNode) heartbeatRefused(name, reason string) {
 	c.proc.Metrics().Count("replica_calls_refused_total").Inc(1)
 	c.proc.Ring().Add(event.Event{Kind: event.CallRefused, Host: name, Reason: reason})
 }
 
+// put commits a configuration and reports whether that is certain.
 func (c *controlNode) put(ctx context.Context, version uint64, raw []byte) bool {
 	reply := c.cluster.Put(ctx, wire.DocumentRequest{Version: version, Packed: wire.Pack(raw)})
 	kind := event.ConfigAccepted
@@ -40,6 +41,7 @@
 	return reply.Outcome == wire.Accepted
 }
 
+// read returns the latest accepted configuration.
 func (c *controlNode) read(ctx context.Context) ([]byte, bool) {
 	held := c.cluster.Read(ctx)
 	if !held.Known {
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -34,75 +34,75 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The control node's times.
+// The timing of a control node.
 const (
 	// handOverWait is how long a stopping leader waits for its successor.
 	handOverWait = 600 * time.Millisecond
-	// silentBeats is after how many missed heartbeats a replica counts as silent.
-	silentBeats = 4
-	// forgetReplicas is how long a replica that left is remembered.
+	// silentHeartbeats is the number of missed heartbeats after which a replica counts as silent.
+	silentHeartbeats = 4
+	// forgetReplicas is how long a deregistered replica is remembered.
 	forgetReplicas = 2 * time.Minute
-	// orderIdle is how long a connection for orders is kept.
+	// orderIdle is how long an idle connection for orders is kept open.
 	orderIdle = 4 * time.Second
-	// storageRetry is the pause before a disk that failed is tried again.
+	// storageRetry is the pause before a failed disk is tried again.
 	storageRetry = time.Second
-	// noteWait bounds the telling of one other node.
-	noteWait = 500 * time.Millisecond
+	// notifyTimeout bounds one notification to another node.
+	notifyTimeout = 500 * time.Millisecond
 )
 
 // ControlMain runs moorspool-fleet-control and returns its exit code.
-func ControlMain(arguments []string, speak Interface) int {
+func ControlMain(arguments []string, external Interface) int {
 	return process.Main(arguments, process.Program{
 		Name: "moorspool-fleet-control",
 		Load: func(flags option.Flags) (func() error, error) {
 			settings, err := option.LoadFleetControl(flags.Settings)
-			return func() error { return RunControl(settings, flags.Settings, speak, signals()) }, err
+			return func() error { return RunControl(settings, flags.Settings, external, signals()) }, err
 		},
 	})
 }
 
 // controlNode is a running control node.
 type controlNode struct {
-	settings  option.FleetControl
-	file      string
-	speak     Interface
-	proc      *process.Process
-	links     *control.Links
-	node      *control.Node
-	cluster   *control.Cluster
-	publisher *feed.Publisher
-	relay     *feed.Relay
-	follower  *feed.Follower
-	usage     *exchange.Demand
-	tables    tables
-	placer    *placer.Placer
-	board     *loadview.Board
-	backlog   *loadview.Backlog
-	granter   *admission.Granter
-	desk      *dispatch.Desk
-	permits   permits
-	unknown   *unknownWords
+	settings   option.FleetControl
+	file       string
+	external   Interface
+	proc       *process.Process
+	links      *control.Links
+	node       *control.Node
+	cluster    *control.Cluster
+	publisher  *feed.Publisher
+	relay      *feed.Relay
+	follower   *feed.Follower
+	usage      *exchange.Demand
+	tableCache tableCache
+	placer     *placer.Placer
+	board      *loadview.Board
+	backlog    *loadview.Backlog
+	granter    *admission.Granter
+	desk       *dispatch.Desk
+	permits    permits
+	unknown    *unknownNames
 
 	quarantine *quarantine.Table
-	// toldQuarantine is what gateways are told of it; nil until there is something.
-	toldQuarantine atomic.Pointer[wire.Quarantine]
-	quarantineFile *store.QuarantineFile
-	// toSave is raised when that has changed.
+	// sharedQuarantine is the part of it that is sent to gateways, nil while there is none.
+	sharedQuarantine atomic.Pointer[wire.Quarantine]
+	quarantineFile   *store.QuarantineFile
+	// toSave is raised when sharedQuarantine has changed.
 	toSave wakeup.Flag
 
 	signals <-chan os.Signal
 }
 
-// errStorage means that the node's disk failed and the node has to start anew.
+// errStorage means that the node's disk failed and the node must be restarted within the process.
 var errStorage = errors.New("the data folder could not be used")
 
-// RunControl runs a control node until a signal ends it. One whose disk fails is
-// built anew once the disk can be used, without the process ending; what the
-// disk holds decides then, as after any restart.
-func RunControl(settings option.FleetControl, file string, speak Interface, signals <-chan os.Signal) error {
+// RunControl runs a control node until a signal ends it. After a disk failure it waits until the
+// disk works again and rebuilds the node from the disk's content, as after a restart of the
+// process.
+func RunControl(settings option.FleetControl, file string, external Interface, signals <-chan os.Signal) error {
 	limitMemory(settings.MemoryMB)
 	for {
-		err := runControlOnce(settings, file, speak, signals)
+		err := runControlOnce(settings, file, external, signals)
 		if !errors.Is(err, errStorage) {
 			return err
 		}
@@ -116,22 +116,23 @@
 	}
 }
 
-// storageError says that a failure came from the disk.
+// storageError marks an error as a disk failure.
 func storageError(err error) error { return errors.Wrap(errStorage, err.Error()) }
 
-func runControlOnce(settings option.FleetControl, file string, speak Interface, signals <-chan os.Signal) error {
-	c := &controlNode{settings: settings, file: file, speak: speak, signals: signals}
+// runControlOnce builds and runs a control node until a signal or a disk failure.
+func runControlOnce(settings option.FleetControl, file string, external Interface, signals <-chan os.Signal) error {
+	c := &controlNode{settings: settings, file: file, external: external, signals: signals}
 	proc, err := process.New("control", settings.Common(), func(*wire.Status) {})
 	if err != nil {
 		return err
 	}
 	c.proc = proc
-	c.unknown = newUnknownWords(proc)
+	c.unknown = newUnknownNames(proc)
 	folder, start, err := store.Open(store.Options{
 		Path:     settings.Folder,
 		Cluster:  settings.Common().Cluster,
 		Name:     settings.Peer(),
-		Founder:  settings.Found && founds(settings),
+		Founder:  settings.Found && isFounder(settings),
 		Founders: founders(settings),
 	})
 	if err != nil {
@@ -153,8 +154,8 @@
 	return c.serve()
 }
 
-// founds reports whether this node is one of the first voters.
-func founds(settings option.FleetControl) bool {
+// isFounder reports whether this node is one of the first voters.
+func isFounder(settings option.FleetControl) bool {
 	for _, peer := range settings.SeedPeers() {
 		if peer == settings.Peer() {
 			return true
@@ -163,6 +164,7 @@
 	return false
 }
 
+// founders returns the IDs of the first voters.
 func founders(settings option.FleetControl) []raft.ID {
 	var ids []raft.ID
 	for _, peer := range settings.SeedPeers() {
@@ -172,7 +174,7 @@
 	return ids
 }
 
-// build puts the node's parts together.
+// build creates the node's parts and registers their methods.
 func (c *controlNode) build(folder *store.Folder, start raft.Start) error {
 	id := folder.Identity().ID()
 	disk := control.Disk{Save: folder.Save, SaveSnapshot: folder.SaveSnapshot}
@@ -193,8 +195,8 @@
 		m.Gauge("zones_drained", float64(len(c.cluster.Drains().Zones)))
 		accounts.set(m, c.granter.Used())
 	})
-	times := registry.Times{Silence: silentBeats * c.settings.Heartbeat.Std(), Forget: forgetReplicas}
-	c.quarantine = newTable(c.proc.Ring())
+	times := registry.Times{Silence: silentHeartbeats * c.settings.Heartbeat.Std(), Forget: forgetReplicas}
+	c.quarantine = newQuarantineTable(c.proc.Ring())
 	c.quarantineFile = folder.Quarantine()
 	c.toSave = wakeup.New()
 	cluster := feed.Cluster{
@@ -208,25 +210,25 @@
 		Peers:    c.cluster.Peers,
 		Majority: c.cluster.Majority,
 		Leading:  func() bool { return c.cluster.Leadership().Self },
-		Note:     c.noteTo,
+		Note:     c.sendRecord,
 
-		Quarantine: c.toldQuarantine.Load,
+		Quarantine: c.sharedQuarantine.Load,
 		Drains:     c.cluster.Drains,
 
 		Save: c.saveReplicas(folder.Replicas()),
 
 		Serves:  c.serves,
-		Misread: c.misread,
+		Misread: c.heartbeatRefused,
 	}
 	c.publisher = feed.NewPublisher(c.settings.Node, c.settings.Zone, times, cluster, clock.Now)
-	c.recall(folder.Replicas())
+	c.restoreReplicas(folder.Replicas())
 	c.publisher.Register(c.proc.Mux())
-	c.tables = tables{decode: c.speak.Decode}
+	c.tableCache = tableCache{decode: c.external.Decode}
 	c.placer = placer.New(placer.Options{
 		Holder:  c.settings.Node,
-		Calls:   c.speak.Orders(orderClient()),
+		Calls:   c.external.Orders(orderClient()),
 		Leading: c.leading,
-		Table:   func() *catalog.Table { return c.tables.get(c.cluster.Version(), c.cluster.Document) },
+		Table:   func() *catalog.Table { return c.tableCache.get(c.cluster.Version(), c.cluster.Document) },
 		Publish: c.publisher.SetHoldings,
 		Lease:   c.settings.Lease.Std(),
 		Ring:    c.proc.Ring(),
@@ -234,17 +236,17 @@
 	})
 	c.buildDesk()
 	c.usage = exchange.NewDemand()
-	c.proc.Mux().Handle(wire.MethodUsage, rpc.Typed(c.takeUsage))
-	c.proc.Mux().Handle(wire.MethodUsageSum, rpc.Typed(c.takeUsageSum))
+	c.proc.Mux().Handle(wire.MethodUsage, rpc.Typed(c.handleUsage))
+	c.proc.Mux().Handle(wire.MethodUsageSum, rpc.Typed(c.handleUsageSum))
 	c.buildFollower(cluster)
 	c.board = loadview.NewBoard()
-	c.proc.Mux().Handle(wire.MethodLoad, rpc.Typed(c.load))
-	c.proc.Mux().Handle(wire.MethodLoadSum, rpc.Typed(c.loadSum))
+	c.proc.Mux().Handle(wire.MethodLoad, rpc.Typed(c.handleLoad))
+	c.proc.Mux().Handle(wire.MethodLoadSum, rpc.Typed(c.handleLoadSum))
 	c.backlog = loadview.NewBacklog()
-	c.proc.Mux().Handle(wire.MethodSent, rpc.Typed(c.sent))
-	c.proc.Mux().Handle(wire.MethodSentSum, rpc.Typed(c.sentSum))
-	c.recallQuarantine()
-	c.proc.Mux().Handle(wire.MethodQuarantine, rpc.Typed(c.takeQuarantine))
+	c.proc.Mux().Handle(wire.MethodSent, rpc.Typed(c.handleSent))
+	c.proc.Mux().Handle(wire.MethodSentSum, rpc.Typed(c.handleSentSum))
+	c.restoreQuarantine()
+	c.proc.Mux().Handle(wire.MethodQuarantine, rpc.Typed(c.handleQuarantine))
 	c.proc.Mux().Handle(wire.MethodQuarantineList, rpc.Typed(c.listQuarantine))
 	c.proc.Mux().Handle(wire.MethodQuarantineLift, rpc.Typed(c.liftQuarantine))
 	c.registerZones()
@@ -253,18 +255,20 @@
 	return nil
 }
 
-// serves reports whether the configuration names a service.
+// serves reports whether the configuration contains a service.
 func (c *controlNode) serves(service string) bool {
-	table := c.tables.get(c.cluster.Version(), c.cluster.Document)
+	table := c.tableCache.get(c.cluster.Version(), c.cluster.Document)
 	return table != nil && table.Service(service) != nil
 }
 
+// leading returns what the placer needs to know of this node's leadership.
 func (c *controlNode) leading() placer.Leading {
 	lead := c.cluster.Leadership()
 	return placer.Leading{Self: lead.Self, Token: lead.Term, Since: lead.Since}
 }
 
-// orderClient returns the client for orders: few connections, kept a while.
+// orderClient returns the client that sends orders to replicas. It keeps one idle connection per
+// replica for a short time.
 func orderClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialForOrders,
@@ -274,8 +278,9 @@
 	}}
 }
 
-// dialForOrders opens a connection that is reset when it is closed. The system would go on sending an
-// order that was given up on a broken link, and deliver it when the link is back, after the next leader's.
+// dialForOrders opens a connection that is reset when it is closed. Otherwise the operating system
+// keeps retransmitting an abandoned order over a broken link, and delivers it when the link is
+// back, after those of the next leader.
 func dialForOrders(ctx context.Context, _, address string) (net.Conn, error) {
 	conn, err := exchange.Dial(ctx, address)
 	if err != nil {
@@ -290,13 +295,14 @@
 	return conn, nil
 }
 
-func (c *controlNode) noteTo(ctx context.Context, address string, record registry.Record) error {
-	ctx, cancel := context.WithTimeout(ctx, noteWait)
+// sendRecord sends a replica's record to another control node.
+func (c *controlNode) sendRecord(ctx context.Context, address string, record registry.Record) error {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	return c.links.Client(address).Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
 }
 
-// serve runs the node until a signal, or until its disk fails.
+// serve runs the node until a signal or a disk failure.
 func (c *controlNode) serve() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -307,15 +313,15 @@
 	go c.placer.Run(ctx)
 	go c.shareLoad(ctx)
 	go c.shareBacklog(ctx)
-	go c.passSent(ctx)
-	go c.passUsage(ctx)
+	go c.forwardSent(ctx)
+	go c.forwardUsage(ctx)
 	go c.shareLimits(ctx)
 	go c.granter.Run(ctx)
 	go c.relay.Run(ctx)
-	go c.passQuarantine(ctx)
-	go c.keepQuarantine(ctx)
+	go c.forwardQuarantine(ctx)
+	go c.saveQuarantine(ctx)
 	go c.follower.Run(ctx)
-	calls, err := listen(c.settings.Calls, c.speak.Calls(c.calls()))
+	calls, err := listen(c.settings.Calls, c.external.Calls(c.calls()))
 	if err != nil {
 		return err
 	}
@@ -336,8 +342,8 @@
 	}
 }
 
-// buildFollower makes what learns what all control nodes were told, this one included,
-// and what passes that on to gateways.
+// buildFollower creates the follower, which learns what every control node was told, this one
+// included, and the relay, which passes that on to gateways.
 func (c *controlNode) buildFollower(cluster feed.Cluster) {
 	options := feed.Options{Node: c.settings.Node, Zone: c.settings.Zone, Seeds: c.settings.SeedPeers()}
 	sink := feed.Sink{
@@ -345,17 +351,18 @@
 			c.placer.SetReplicas(changes)
 			c.desk.SetReplicas(changes)
 		},
-		Drains: c.takeDrains,
+		Drains: c.setDrains,
 	}
 	c.follower = feed.NewFollower(options, sink, c.proc.Meter(), nil, c.proc.Ring(), clock.Now)
 	c.relay = feed.NewRelay(c.settings.Node, c.settings.Zone, c.follower, cluster, clock.Now)
 	c.publisher.SetRelay(c.relay)
 }
 
+// reload reads the settings again; only new seeds take effect.
 func (c *controlNode) reload() {
 	settings, err := option.LoadFleetControl(c.file)
 	if err != nil {
-		c.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded, Reason: "kept the old ones: " + err.Error()})
+		c.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded, Reason: "the previous settings stay in use: " + err.Error()})
 		return
 	}
 	c.follower.AddSeeds(settings.SeedPeers())
@@ -363,7 +370,7 @@
 	c.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded})
 }
 
-// stop hands leadership over and ends.
+// stop hands over leadership and ends the node.
 func (c *controlNode) stop(calls *http.Server) {
 	c.proc.SetLeaving()
 	c.cluster.HandOver()
--- a/src/fleet/doc.go
+++ b/src/fleet/doc.go
@@ -1,5 +1,4 @@
-// Package fleet runs the gateways and control nodes of an installation whose
-// processes find each other from seeds, whose replicas register themselves and
-// whose configuration is one document under a version. How clients, replicas and
-// operators speak is given by an Interface.
+// Package fleet runs the gateways and control nodes of an installation whose processes find each
+// other through seed addresses, whose replicas register themselves and whose configuration is a
+// single versioned document. An Interface defines the protocols of clients, replicas and operators.
 package fleet
--- a/src/fleet/gateway.go
+++ b/src/fleet/gateway.go
@@ -31,37 +31,37 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The gateway's times.
+// The timing and memory of a gateway.
 const (
-	// stopMargin is kept from the stop limit for the process's own end.
+	// stopMargin is the part of the stop limit that is left for the end of the process.
 	stopMargin = 500 * time.Millisecond
-	// demandEvery is how often demand is reported.
-	demandEvery = 500 * time.Millisecond
-	// demandSoon bounds how often demand for missing copies is reported.
-	demandSoon = 20 * time.Millisecond
-	// tidyEvery is how often idle connections are looked through.
-	tidyEvery = time.Second
-	// headerTimeout and idleTimeout bound a client's connection.
+	// demandInterval is the interval of demand reports.
+	demandInterval = 500 * time.Millisecond
+	// demandBatchDelay is how long a report of missing copies waits for further ones.
+	demandBatchDelay = 20 * time.Millisecond
+	// tidyInterval is the interval of checks for idle connections.
+	tidyInterval = time.Second
+	// headerTimeout and idleTimeout apply to clients' connections.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 75 * time.Second
-	// gatewayGCPercent lets a gateway's heap double between two collections: with the
-	// 40 % that other processes have, a fifth of an idle gateway's time was collecting.
-	// A gateway takes some 14 MB of the 184 that it has.
+	// gatewayGCPercent lets a gateway's heap double between two collections: with the 40 % of other
+	// processes, an idle gateway spent a fifth of its time on collections. A gateway uses some 14
+	// MB of its 184 MB.
 	gatewayGCPercent = 100
-	// memoryShare is the part of a process's memory that the heap aims at.
+	// memoryShare is the Go memory limit as a part of the process's memory.
 	memoryShare = 0.7
-	// retainShare is the part that bodies and answers may take together: the rest is for the view of
-	// the installation and the connections.
+	// retainShare is the part that request and response bodies may take together; the rest is for
+	// the state of the installation and the connections.
 	retainShare = 0.25
 )
 
 // GatewayMain runs moorspool-fleet-gateway and returns its exit code.
-func GatewayMain(arguments []string, speak Interface) int {
+func GatewayMain(arguments []string, external Interface) int {
 	return process.Main(arguments, process.Program{
 		Name: "moorspool-fleet-gateway",
 		Load: func(flags option.Flags) (func() error, error) {
 			settings, err := option.LoadFleetGateway(flags.Settings)
-			return func() error { return RunGateway(settings, flags.Settings, speak, signals()) }, err
+			return func() error { return RunGateway(settings, flags.Settings, external, signals()) }, err
 		},
 	})
 }
@@ -70,7 +70,7 @@
 type gateway struct {
 	settings option.FleetGateway
 	file     string
-	speak    Interface
+	external Interface
 	proc     *process.Process
 	fleet    *exchange.Fleet
 	handler  *exchange.Handler
@@ -79,10 +79,11 @@
 	gate     *admission.Gate
 	guard    *quarantine.Guard
 	stopping atomic.Bool
+	// replicas is set once any replica is known.
 	replicas atomic.Bool
 }
 
-// signals delivers the signals that servers act on.
+// signals delivers the signals that servers handle.
 func signals() <-chan os.Signal {
 	delivered := make(chan os.Signal, 4)
 	signal.Notify(delivered, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -90,9 +91,9 @@
 }
 
 // RunGateway runs a gateway until a signal ends it.
-func RunGateway(settings option.FleetGateway, file string, speak Interface, signals <-chan os.Signal) error {
+func RunGateway(settings option.FleetGateway, file string, external Interface, signals <-chan os.Signal) error {
 	limitMemory(settings.MemoryMB)
-	g := &gateway{settings: settings, file: file, speak: speak, demand: exchange.NewDemand()}
+	g := &gateway{settings: settings, file: file, external: external, demand: exchange.NewDemand()}
 	proc, err := process.New("gateway", settings.Common(), func(*wire.Status) {})
 	if err != nil {
 		return err
@@ -110,9 +111,9 @@
 		Now:   clock.Now,
 		Sleep: admission.Sleep,
 	})
-	g.guard = quarantine.NewGuard(newTable(proc.Ring()))
+	g.guard = quarantine.NewGuard(newQuarantineTable(proc.Ring()))
 	g.handler = exchange.NewHandler(exchange.Options{
-		Codec:  speak.Codec,
+		Codec:  external.Codec,
 		Fleet:  g.fleet,
 		Budget: exchange.BudgetLimits{Ratio: settings.Retry.Ratio, Extra: settings.Retry.Extra, Window: settings.Retry.Window.Std()},
 		Admission: exchange.Admission{
@@ -129,14 +130,14 @@
 		Ring:    proc.Ring(),
 		Metrics: exchange.NewMetrics(proc.Metrics()),
 		Now:     time.Now,
-		Unknown: newUnknownWords(proc).note,
+		Unknown: newUnknownNames(proc).note,
 
 		RetainBytes: int64(retainShare * float64(settings.MemoryMB) * (1 << 20)),
 	})
 	g.buildFollower()
 	proc.SetRefresh(func(m *metric.Registry) {
 		setGatewayGauges(clock.Now(), m, g.handler.Table(), g.follower.Known())
-		setIntakeGauges(m, g.fleet)
+		setAvailabilityGauges(m, g.fleet)
 	})
 	if err := proc.Serve(); err != nil {
 		return err
@@ -145,6 +146,7 @@
 	return g.serve(signals)
 }
 
+// serve runs the gateway until a signal other than SIGHUP.
 func (g *gateway) serve(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -152,13 +154,13 @@
 	if err != nil {
 		return err
 	}
-	ready, err := listen(g.settings.Ready, g.speak.Ready(g.ready))
+	ready, err := listen(g.settings.Ready, g.external.Ready(g.ready))
 	if err != nil {
 		return err
 	}
 	defer ready.Close()
 	go g.follower.Run(ctx)
-	go g.report(ctx)
+	go g.reportDemand(ctx)
 	go g.tidy(ctx)
 	go g.shareLoad(ctx)
 	go g.shareBacklog(ctx)
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// buildFollower makes what keeps configuration and replicas up to date.
+// buildFollower creates the follower, which keeps configuration and replicas up to date.
 func (g *gateway) buildFollower() {
 	options := feed.Options{Node: g.settings.Node, Zone: g.settings.Zone, Gateway: true, Seeds: g.settings.SeedPeers()}
 	sink := feed.Sink{
@@ -198,8 +200,9 @@
 	g.follower = feed.NewFollower(options, sink, g.proc.Meter(), nil, g.proc.Ring(), clock.Now)
 }
 
+// setDocument decodes a configuration and puts it into use.
 func (g *gateway) setDocument(from string, held wire.Document) error {
-	document, err := decode(held, g.speak.Decode)
+	document, err := decode(held, g.external.Decode)
 	if err != nil {
 		return errors.Wrap(err, "version "+strconv.FormatUint(held.Version, 10))
 	}
@@ -208,14 +211,14 @@
 	return nil
 }
 
-// ready reports whether the gateway wants new connections.
+// ready reports whether the gateway accepts new connections.
 func (g *gateway) ready() bool {
 	return !g.stopping.Load() && g.handler.Table() != nil && g.replicas.Load()
 }
 
-// report tells the control node that this gateway follows what requests ask for: now and
-// then while there are any, and at once when a copy is missing.
-func (g *gateway) report(ctx context.Context) {
+// reportDemand reports the requests' demand to the nearest control node: at an interval while there
+// is any, and at once when a copy is missing.
+func (g *gateway) reportDemand(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -225,9 +228,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(demandEvery):
+		case <-time.After(demandInterval):
 		case <-g.demand.Urgent():
-			time.Sleep(demandSoon)
+			time.Sleep(demandBatchDelay)
 		}
 		if models := g.demand.Drain(); len(models) > 0 {
 			g.follower.NotifyNearest(ctx, wire.MethodUsage, wire.Usage{Node: g.settings.Node, Models: models})
@@ -235,8 +238,8 @@
 	}
 }
 
-// shareLoad reports what this gateway has under way, at once when it has sent a
-// request and then now and then until it has nothing; the answer is what all have.
+// shareLoad reports this gateway's running requests: at once after it has sent one, then at an
+// interval until there are none. Control nodes send back the total of all gateways.
 func (g *gateway) shareLoad(ctx context.Context) {
 	idle := true
 	for {
@@ -258,8 +261,7 @@
 	}
 }
 
-// shareBacklog reports the prompts that this gateway has sent to replicas which do not
-// tell how much they have still to read.
+// shareBacklog reports the prompts sent to replicas that do not report their own backlog.
 func (g *gateway) shareBacklog(ctx context.Context) {
 	for {
 		select {
@@ -272,8 +274,9 @@
 	}
 }
 
+// tidy closes idle connections and removes expired state.
 func (g *gateway) tidy(ctx context.Context) {
-	ticker := time.NewTicker(tidyEvery)
+	ticker := time.NewTicker(tidyInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -288,19 +291,19 @@
 	}
 }
 
-// reload reads the settings again; seeds are the part that may change in a life.
+// reload reads the settings again; only new seeds take effect.
 func (g *gateway) reload() {
 	settings, err := option.LoadFleetGateway(g.file)
 	if err != nil {
-		g.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded, Reason: "kept the old ones: " + err.Error()})
+		g.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded, Reason: "the previous settings stay in use: " + err.Error()})
 		return
 	}
 	g.follower.AddSeeds(settings.SeedPeers())
 	g.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded})
 }
 
-// stop ends a gateway in order: no new connections from the balancer, then no
-// listener, then the last answers.
+// stop shuts a gateway down: it fails the readiness check and waits for the load balancer, then
+// closes the listener and completes the requests in progress.
 func (g *gateway) stop(clients *http.Server) {
 	began := time.Now()
 	limit := g.settings.StopLimit.Std() - stopMargin
@@ -313,7 +316,7 @@
 	_ = clients.Shutdown(ctx)
 }
 
-// listen serves a handler at an address.
+// listen starts a server for a handler at an address.
 func listen(address string, handler http.Handler) (*http.Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -329,7 +332,7 @@
 	return server, nil
 }
 
-// limitMemory keeps the heap well below what the host gives the process.
+// limitMemory sets the Go memory limit well below the memory of the process.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(int64(float64(megabytes) * memoryShare * (1 << 20)))
--- a/src/fleet/gauges.go
+++ b/src/fleet/gauges.go
@@ -13,19 +13,19 @@
 	"github.com/moorspool/moorspool/src/metric"
 )
 
-// setQuorumGauges tells how a control node sees the membership.
+// setQuorumGauges sets the gauges of a control node's membership.
 func setQuorumGauges(m *metric.Registry, q control.Quorum) {
 	m.Gauge("voters", float64(q.Voters))
 	m.Gauge("voters_heard", float64(q.Heard))
 	m.Gauge("learners", float64(q.Learners))
-	m.Gauge("leading", oneIf(q.Leading))
-	m.Gauge("leader_known", oneIf(q.LeaderKnown))
-	m.Gauge("member", oneIf(q.Member))
+	m.Gauge("leading", boolValue(q.Leading))
+	m.Gauge("leader_known", boolValue(q.LeaderKnown))
+	m.Gauge("member", boolValue(q.Member))
 	m.Gauge("configuration_version", float64(q.Version))
 	m.Gauge("term", float64(q.Term))
 }
 
-// setDelayGauges tells the longest delays of a control node's agreement lately.
+// setDelayGauges sets the gauges of the longest recent delays in a control node's consensus.
 func setDelayGauges(m *metric.Registry, d control.Delays) {
 	m.Gauge("agreement_wait_seconds", d.Wait.Seconds())
 	m.Gauge("agreement_step_seconds", d.Step.Seconds())
@@ -33,43 +33,44 @@
 }
 
 const (
-	// namedAccounts is how many client accounts have a gauge of their own at a time, and
-	// accountNames how many ever had one: names are the operators', and a metric must not
-	// grow with them.
-	namedAccounts = 8
-	accountNames  = 32
-	// otherAccounts names the sum of the rest.
+	// maxNamedAccounts is how many client accounts have a gauge of their own at a time,
+	// maxAccountNames how many ever get one: operators choose the names, and the number of time
+	// series must be bounded.
+	maxNamedAccounts = 8
+	maxAccountNames  = 32
+	// otherAccounts is the label of the sum of the rest.
 	otherAccounts = "others"
 )
 
-// accountGauges tell what is asked for of the largest accounts' limits.
+// accountGauges are the gauges of the use of client accounts' limits.
 type accountGauges struct {
+	// named holds the accounts that ever had a gauge.
 	named map[string]bool
 }
 
-// set tells the largest accounts by name and the sum of the rest.
+// set sets the gauges of the accounts with the largest use, and the sum of the rest.
 func (g *accountGauges) set(m *metric.Registry, used map[string]float64) {
 	names := slices.SortedFunc(maps.Keys(used), func(a, b string) int { return cmp.Compare(used[b], used[a]) })
 	others := 0.0
-	told := map[string]bool{}
+	updated := map[string]bool{}
 	for i, name := range names {
-		if i >= namedAccounts || !g.named[name] && len(g.named) >= accountNames {
+		if i >= maxNamedAccounts || !g.named[name] && len(g.named) >= maxAccountNames {
 			others += used[name]
 			continue
 		}
-		g.named[name], told[name] = true, true
+		g.named[name], updated[name] = true, true
 		m.GaugeOf("account_units_per_second", "account", name, used[name])
 	}
 	for name := range g.named {
-		if !told[name] {
+		if !updated[name] {
 			m.GaugeOf("account_units_per_second", "account", name, 0)
 		}
 	}
 	m.GaugeOf("account_units_per_second", "account", otherAccounts, others)
 }
 
-// setGatewayGauges tells which configuration a gateway acts on, nil if there is none yet,
-// and which is the newest that it was told of.
+// setGatewayGauges sets the gauges of the configuration that a gateway uses, nil if there is none
+// yet, and of the newest that it knows to exist.
 func setGatewayGauges(now time.Time, m *metric.Registry, table *catalog.Table, known feed.Known) {
 	version := uint64(0)
 	if table != nil {
@@ -83,8 +84,9 @@
 	}
 }
 
-// setIntakeGauges tells how many backend servers take no requests from a gateway by their word.
-func setIntakeGauges(m *metric.Registry, f *exchange.Fleet) {
+// setAvailabilityGauges sets the gauges of the backend servers that accept no or fewer requests from a
+// gateway.
+func setAvailabilityGauges(m *metric.Registry, f *exchange.Fleet) {
 	backingOff, leaving := f.BackingOff()
 	m.Gauge("replicas_backing_off", float64(backingOff))
 	m.Gauge("replicas_leaving_told", float64(leaving))
@@ -93,7 +95,8 @@
 	m.Gauge("replicas_limited", float64(f.Limited()))
 }
 
-func oneIf(set bool) float64 {
+// boolValue converts a boolean to a gauge value.
+func boolValue(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/src/fleet/gauges_test.go
+++ b/src/fleet/gauges_test.go
@@ -10,7 +10,7 @@
 	"github.com/moorspool/moorspool/src/metric"
 )
 
-// TestOnlyTheLargestAccountsHaveGauges, however many accounts there are over time.
+// TestOnlyTheLargestAccountsHaveGauges checks the bound while the accounts change over time.
 func TestOnlyTheLargestAccountsHaveGauges(t *testing.T) {
 	is := is.New(t)
 	m := metric.New("control")
@@ -22,7 +22,7 @@
 		}
 		g.set(m, used)
 	}
-	is.Equal(len(g.named), accountNames)
+	is.Equal(len(g.named), maxAccountNames)
 	is.True(g.named["account-99"])
 	page := string(m.Handler()())
 	is.True(!strings.Contains(page, "account-950"))
--- a/src/fleet/interface.go
+++ b/src/fleet/interface.go
@@ -11,48 +11,48 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// Interface is one manner of speaking with everything outside moorspool.
+// Interface is the protocol towards everything outside moorspool.
 type Interface struct {
-	// Codec speaks with clients and, for requests, with replicas.
+	// Codec encodes and decodes requests and responses of clients and replicas.
 	Codec exchange.Codec
-	// Decode reads a whole configuration.
+	// Decode parses a configuration document.
 	Decode func(raw []byte) (catalog.Document, error)
-	// Ready answers the balancer.
+	// Ready serves the load balancer's readiness check.
 	Ready func(ready func() bool) http.Handler
-	// Orders speaks with replicas about what they hold.
+	// Orders sends orders to replicas and fetches their reports.
 	Orders func(client *http.Client) placer.Calls
-	// Calls answers operators and replicas.
+	// Calls serves the requests of operators and replicas.
 	Calls func(Calls) http.Handler
 }
 
-// ZoneOrderResult is what an operator is answered to an order about an availability zone.
+// ZoneOrderResult is the result of an operator's order about an availability zone.
 type ZoneOrderResult struct {
 	// Done is set once the order is durable.
 	Done bool
 	// UnknownZone is set if there is no such zone; the order must not be sent again.
 	UnknownZone bool
-	// Reason says why it was not done.
+	// Reason is why the order was not carried out.
 	Reason string
-	// RetryAfter is after how long to send it again, 0 if at once.
+	// RetryAfter is the delay before the order is sent again, 0 for none.
 	RetryAfter time.Duration
 }
 
-// Calls are the functions behind the calls of operators and replicas.
+// Calls are the functions that handle requests of operators and replicas.
 type Calls struct {
-	// Put puts a configuration in force; it reports whether that is certain.
+	// Put commits a configuration; it returns false if the outcome is uncertain.
 	Put func(ctx context.Context, version uint64, raw []byte) bool
-	// Read returns the newest accepted configuration if this node can be sure of it.
+	// Read returns the latest accepted configuration; known is false if this node can't confirm it.
 	Read func(ctx context.Context) (raw []byte, known bool)
-	// ConfigurationRefused learns of an invalid configuration.
+	// ConfigurationRefused is told why a configuration is invalid.
 	ConfigurationRefused func(reason string)
-	// OrderZone drains an availability zone, or ends that.
+	// OrderZone starts or ends the drain of an availability zone.
 	OrderZone func(ctx context.Context, zone string, drain bool) ZoneOrderResult
-	// Hear takes in a replica's call; it reports whether to acknowledge it.
+	// Hear handles a replica's heartbeat; it reports whether to acknowledge it.
 	Hear func(ctx context.Context, record registry.Record) bool
-	// HeartbeatRefused learns of a replica's call that could not be read as one, with the reason.
+	// HeartbeatRefused is told why a heartbeat in a replica's name is malformed.
 	HeartbeatRefused func(name, reason string)
-	// UnknownFields learns of fields of a replica's call that the product does not know.
+	// UnknownFields is told the unknown fields of a replica's heartbeat.
 	UnknownFields func(name string, fields []string)
-	// Remove takes in that a replica ends.
+	// Remove handles a replica's deregistration; it reports whether to acknowledge it.
 	Remove func(ctx context.Context, id string) bool
 }
--- a/src/fleet/order_test.go
+++ b/src/fleet/order_test.go
@@ -17,12 +17,11 @@
 
 // TestAnOrderThatIsGivenUpIsNotDeliveredLater
 //
-// A leading control node was cut off from all other hosts for some 5.5 s and lost its lease. 3.4 s later the
-// next leader began to order; 2.2 s after its order one of the earlier leader arrived at the same backend
-// server, with its lower fencing token, half a second after the cut had ended. Evidence: no node sends
-// orders that follows another leader, and an order is given up after 0.6 s; but the system keeps what a
-// closed connection has not delivered, and tries it again after pauses that double from 0.2 s on, whose
-// first five last 6.2 s. Here the backend server sees which it is: a connection that is reset leaves nothing.
+// Orders are abandoned after 0.6 s, but the operating system retransmits what a closed connection
+// has not delivered, at intervals that double from 0.2 s; the first five last 6.2 s. A leader was
+// cut off for 5.5 s and lost its lease, and the next one began to send orders 3.4 s after that. An
+// order of the first leader, with the lower fencing token, arrived half a second after the cut had
+// ended, 2.2 s after one of the next leader. A connection that is reset delivers nothing more.
 func TestAnOrderThatIsGivenUpIsNotDeliveredLater(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/src/fleet/permit.go
+++ b/src/fleet/permit.go
@@ -17,65 +17,69 @@
 )
 
 const (
-	// leaderPermitWait bounds the leader's answer to an ask: the gateway waits half of a permit's life.
-	leaderPermitWait = ratelimit.Life / 3
-	// leaderLostAfter is after how long without an answer of a leader a control node issues its own
-	// share: most elections are over by then.
+	// leaderPermitTimeout bounds the wait for the leader's response; the gateway waits half of a
+	// permit's lifetime.
+	leaderPermitTimeout = ratelimit.Life / 3
+	// leaderLostAfter is how long a control node gets no response from a leader before it issues
+	// permits from its own share: most elections are over by then.
 	leaderLostAfter = time.Second
-	// limitsJoin is how long news of limits waits for more. They are told again after limitsSoon, to
-	// gateways that were being told something else, and each limitsAgain while there are any.
-	limitsJoin  = 50 * time.Millisecond
-	limitsSoon  = 200 * time.Millisecond
-	limitsAgain = 2 * time.Second
-	// maxToldLimits bounds the limits that all gateways are told of. Of others each gateway learns by
-	// its first answer.
-	maxToldLimits = 256
-	// toldEnded is for how long gateways are told that a limit has ended.
-	toldEnded = 10 * time.Second
+	// limitsBatchDelay is how long changed limits wait for further ones. Limits are sent again
+	// after limitsResendDelay, to gateways that were busy with another notification, and at
+	// limitsInterval while there are any.
+	limitsBatchDelay  = 50 * time.Millisecond
+	limitsResendDelay = 200 * time.Millisecond
+	limitsInterval    = 2 * time.Second
+	// maxSharedLimits bounds the limits that are sent to all gateways. Each gateway learns of
+	// further ones by its first response from the replica.
+	maxSharedLimits = 256
+	// limitEndShared is for how long gateways are sent the end of a limit.
+	limitEndShared = 10 * time.Second
 )
 
-// permits is what issues permits at a control node.
+// permits issues permits at a control node.
 type permits struct {
 	issuer  *ratelimit.Issuer
 	standIn *ratelimit.StandIn
-	// lostSince is since when asks get no answer of a leader, in nanoseconds; 0 while they do.
+	// lostSince is the time of the first request without a response from a leader, in nanoseconds;
+	// 0 while the leader responds.
 	lostSince atomic.Int64
-	// news is raised when a limit has changed at this node, or was heard without a leader.
-	news wakeup.Flag
+	// changed is raised when a limit has changed at this node, or was received without a leader.
+	changed wakeup.Flag
 
 	mu sync.Mutex
-	// heard are the limits that gateways heard of while no leader answered.
-	heard map[string]ratelimit.State
+	// pending are limits that gateways received from replicas while no leader responded.
+	pending map[string]ratelimit.State
 }
 
-// hear takes in a limit that a gateway heard of and no leader was told; others hear of it too.
-func (p *permits) hear(request wire.PermitRequest) {
+// addPending records a limit that a gateway received from a replica and no leader knows, to be sent
+// to the other gateways.
+func (p *permits) addPending(request wire.PermitRequest) {
 	if !request.Heard || !request.Limited {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.heard) < maxToldLimits {
-		p.heard[request.Replica] = ratelimit.State{Limited: true, PerSecond: request.PerSecond}
-		p.news.Raise()
+	if len(p.pending) < maxSharedLimits {
+		p.pending[request.Replica] = ratelimit.State{Limited: true, PerSecond: request.PerSecond}
+		p.changed.Raise()
 	}
 }
 
-// drainHeard returns what was heard since the last time.
-func (p *permits) drainHeard() []ratelimit.Told {
+// drainPending returns the limits recorded since the last call.
+func (p *permits) drainPending() []ratelimit.Told {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var told []ratelimit.Told
-	for name, state := range p.heard {
+	for name, state := range p.pending {
 		told = append(told, ratelimit.Told{Server: name, State: state})
 	}
-	clear(p.heard)
+	clear(p.pending)
 	return told
 }
 
-// lost takes in that an ask got no answer of a leader; it reports whether that goes on for so long that
-// this node issues its own share.
-func (p *permits) lost(now time.Time) bool {
+// leaderLost records a request without a response from a leader; it reports whether that has lasted
+// so long that this node issues permits from its own share.
+func (p *permits) leaderLost(now time.Time) bool {
 	p.lostSince.CompareAndSwap(0, now.UnixNano())
 	return now.UnixNano()-p.lostSince.Load() >= int64(leaderLostAfter)
 }
@@ -85,10 +89,11 @@
 	return feed.AskOne[wire.PermitReply](ctx, g.follower, wire.MethodPermit, request)
 }
 
-// buildPermits makes what issues permits for cold and limited replicas.
+// buildPermits creates what issues permits for cold and limited replicas, and registers its
+// methods.
 func (c *controlNode) buildPermits() {
-	c.permits.standIn, c.permits.news = ratelimit.NewStandIn(rand.Float64), wakeup.New()
-	c.permits.heard = map[string]ratelimit.State{}
+	c.permits.standIn, c.permits.changed = ratelimit.NewStandIn(rand.Float64), wakeup.New()
+	c.permits.pending = map[string]ratelimit.State{}
 	c.permits.issuer = ratelimit.NewIssuer(func() ratelimit.Leadership {
 		lead := c.cluster.Leadership()
 		return ratelimit.Leadership{Self: lead.Self, Term: lead.Term, Since: lead.Since}
@@ -106,34 +111,34 @@
 	}))
 }
 
-// permit answers a gateway's ask: by the leader, or where none has answered for a while by this
-// node's share.
+// permit answers a gateway's request from the leader, or from this node's share if no leader has
+// responded for a while.
 func (c *controlNode) permit(ctx context.Context, request wire.PermitRequest) wire.PermitReply {
 	if reply := c.issue(request); reply.Known {
 		c.permits.lostSince.Store(0)
 		return reply
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaderPermitWait)
+	ctx, cancel := context.WithTimeout(ctx, leaderPermitTimeout)
 	defer cancel()
 	var reply wire.PermitReply
 	if err := c.cluster.CallLeader(ctx, wire.MethodPermitIssue, request, &reply); err == nil && reply.Known {
 		c.permits.lostSince.Store(0)
 		return reply
 	}
-	c.permits.hear(request)
+	c.permits.addPending(request)
 	now := clock.Now()
-	if !c.permits.lost(now) {
+	if !c.permits.leaderLost(now) {
 		return wire.PermitReply{}
 	}
 	return permitReply(c.permits.standIn.Take(now, c.permitAsk(request), ratelimit.ControlShare(len(c.cluster.Members()))))
 }
 
-// issue answers an ask if this node leads.
+// issue answers a request if this node leads.
 func (c *controlNode) issue(request wire.PermitRequest) wire.PermitReply {
 	return permitReply(c.permits.issuer.Take(clock.Now(), c.permitAsk(request)))
 }
 
-// permitAsk is an ask as the issuers have it.
+// permitAsk converts a request for the issuers.
 func (c *controlNode) permitAsk(request wire.PermitRequest) ratelimit.Ask {
 	ask := ratelimit.Ask{
 		Server: request.Replica,
@@ -152,6 +157,7 @@
 	return ask
 }
 
+// permitReply converts the issuers' answer for a gateway.
 func permitReply(a ratelimit.Answer) wire.PermitReply {
 	return wire.PermitReply{
 		Known: a.Known, Granted: a.Granted, WaitUS: (a.Wait + time.Microsecond - 1).Microseconds(), Limits: a.Known,
@@ -159,36 +165,36 @@
 	}
 }
 
-// limitChanged logs a limit that has changed and lets all gateways be told.
+// limitChanged logs a changed limit and has it sent to all gateways.
 func (c *controlNode) limitChanged(change ratelimit.Change) {
 	c.proc.Ring().Add(event.Event{Kind: event.LimitTold, Host: change.Server, Reason: change.String() + "; by what gateways were told"})
-	c.permits.news.Raise()
+	c.permits.changed.Raise()
 }
 
-// shareLimits tells all gateways which replicas are limited while this node leads: at once when that
-// changes, and now and then for those that were not reached.
+// shareLimits sends the limits of replicas to all gateways while this node leads: at once when one
+// changes, and at an interval for gateways that were not reached.
 func (c *controlNode) shareLimits(ctx context.Context) {
-	again := time.NewTimer(limitsAgain)
+	again := time.NewTimer(limitsInterval)
 	defer again.Stop()
 	for {
-		pause := limitsAgain
+		pause := limitsInterval
 		select {
 		case <-ctx.Done():
 			return
 		case <-again.C:
-		case <-c.permits.news.Raised():
-			pause = limitsSoon
+		case <-c.permits.changed.Raised():
+			pause = limitsResendDelay
 		}
 		again.Reset(pause)
-		term, version, told := c.permits.issuer.Limits(clock.Now(), maxToldLimits, toldEnded)
+		term, version, told := c.permits.issuer.Limits(clock.Now(), maxSharedLimits, limitEndShared)
 		c.placer.SetLimits(perSecond(told))
-		c.spreadLimits(ctx, term, version, told)
-		c.spreadLimits(ctx, 0, 0, c.permits.drainHeard())
-		time.Sleep(c.tellPause(limitsJoin))
+		c.sendLimits(ctx, term, version, told)
+		c.sendLimits(ctx, 0, 0, c.permits.drainPending())
+		time.Sleep(c.sharePause(limitsBatchDelay))
 	}
 }
 
-// perSecond returns the limits in force.
+// perSecond returns the limits in force, in requests per second by backend server.
 func perSecond(told []ratelimit.Told) map[string]float64 {
 	limits := map[string]float64{}
 	for _, one := range told {
@@ -199,8 +205,8 @@
 	return limits
 }
 
-// spreadLimits tells the gateways that follow this node and those that follow others.
-func (c *controlNode) spreadLimits(ctx context.Context, term, version uint64, told []ratelimit.Told) {
+// sendLimits sends limits to the gateways of all control nodes.
+func (c *controlNode) sendLimits(ctx context.Context, term, version uint64, told []ratelimit.Told) {
 	if len(told) == 0 {
 		return
 	}
@@ -209,12 +215,12 @@
 		limits.Limits = append(limits.Limits, wire.ReplicaLimit{Replica: one.Server, Limited: one.State.Limited, PerSecond: one.State.PerSecond})
 	}
 	for _, address := range c.cluster.Peers() {
-		go c.tell(ctx, address, wire.MethodLimits, limits)
+		go c.notify(ctx, address, wire.MethodLimits, limits)
 	}
 	c.tellLimits(limits)
 }
 
-// tellLimits tells the gateways that follow this node which replicas are limited.
+// notifyLimits sends limits to the gateways that follow this node.
 func (c *controlNode) tellLimits(limits wire.Limits) {
 	n, err := rpc.NewNotification(wire.MethodLimits, limits)
 	if err != nil {
--- a/src/fleet/permit_test.go
+++ b/src/fleet/permit_test.go
@@ -11,26 +11,28 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestAShareIsIssuedOnceTheLeaderIsLostForLong, counted from the first ask that got no answer.
-func TestAShareIsIssuedOnceTheLeaderIsLostForLong(t *testing.T) {
+// TestAShareIsIssuedOnceTheLeaderIsLost checks that the time counts from the first request without
+// a response.
+func TestAShareIsIssuedOnceTheLeaderIsLost(t *testing.T) {
 	is := is.New(t)
 	var p permits
 	now := time.Unix(1_800_000_000, 0)
-	is.True(!p.lost(now))
-	is.True(!p.lost(now.Add(leaderLostAfter - 1)))
-	is.True(p.lost(now.Add(leaderLostAfter)))
-	p.lostSince.Store(0) // a leader has answered
-	is.True(!p.lost(now.Add(time.Minute)))
+	is.True(!p.leaderLost(now))
+	is.True(!p.leaderLost(now.Add(leaderLostAfter - 1)))
+	is.True(p.leaderLost(now.Add(leaderLostAfter)))
+	p.lostSince.Store(0) // a leader has responded
+	is.True(!p.leaderLost(now.Add(time.Minute)))
 }
 
-// TestWhatIsHeardWithoutALeaderIsPassedOnOnce: limits that an answer named, and no others.
-func TestWhatIsHeardWithoutALeaderIsPassedOnOnce(t *testing.T) {
+// TestLimitsReceivedWithoutALeaderAreSharedOnce checks that only limits from a replica's response
+// are shared.
+func TestLimitsReceivedWithoutALeaderAreSharedOnce(t *testing.T) {
 	is := is.New(t)
-	p := permits{news: wakeup.New(), heard: map[string]ratelimit.State{}}
-	p.hear(wire.PermitRequest{Replica: "known", Limited: true, PerSecond: 2})
-	p.hear(wire.PermitRequest{Replica: "ended", Heard: true})
-	is.Equal(len(p.drainHeard()), 0)
-	p.hear(wire.PermitRequest{Replica: "r", Limited: true, PerSecond: 2, Heard: true})
-	is.Equal(p.drainHeard(), []ratelimit.Told{{Server: "r", State: ratelimit.State{Limited: true, PerSecond: 2}}})
-	is.Equal(len(p.drainHeard()), 0)
+	p := permits{changed: wakeup.New(), pending: map[string]ratelimit.State{}}
+	p.addPending(wire.PermitRequest{Replica: "known", Limited: true, PerSecond: 2})
+	p.addPending(wire.PermitRequest{Replica: "ended", Heard: true})
+	is.Equal(len(p.drainPending()), 0)
+	p.addPending(wire.PermitRequest{Replica: "r", Limited: true, PerSecond: 2, Heard: true})
+	is.Equal(p.drainPending(), []ratelimit.Told{{Server: "r", State: ratelimit.State{Limited: true, PerSecond: 2}}})
+	is.Equal(len(p.drainPending()), 0)
 }
--- a/src/fleet/places.go
+++ b/src/fleet/places.go
@@ -11,20 +11,20 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// askPlace asks the nearest control node for a place.
+// askPlace asks the nearest control node to assign a place at a replica.
 func (g *gateway) askPlace(ctx context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
 	return feed.AskOne[wire.PlaceReply](ctx, g.follower, wire.MethodPlace, request)
 }
 
-// releasePlace tells how a request with a place ended. One that is not told of counts as
-// ended after a while.
+// releasePlace reports how a request with a place ended. If the report is lost, the place is
+// released by a timeout.
 func (g *gateway) releasePlace(release wire.PlaceRelease) {
-	ctx, cancel := context.WithTimeout(context.Background(), noteWait)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	g.follower.NotifyNearest(ctx, wire.MethodRelease, release)
 }
 
-// buildDesk makes what assigns places while this node leads.
+// buildDesk creates what assigns places while this node leads, and registers its methods.
 func (c *controlNode) buildDesk() {
 	c.desk = dispatch.NewDesk(clock.Now)
 	mux := c.proc.Mux()
@@ -43,17 +43,17 @@
 		return c.assign(ctx, request), nil
 	}))
 	mux.Handle(wire.MethodRelease, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, release wire.PlaceRelease) (wire.Empty, error) {
-		c.released(release)
-		go c.passRelease(release)
+		c.handleRelease(release)
+		go c.forwardRelease(release)
 		return wire.Empty{}, nil
 	}))
 	mux.Handle(wire.MethodReleased, rpc.Typed(func(_ context.Context, _ *rpc.Peer, release wire.PlaceRelease) (wire.Empty, error) {
-		c.released(release)
+		c.handleRelease(release)
 		return wire.Empty{}, nil
 	}))
 }
 
-// assign waits for a place.
+// assign waits for a place and returns it.
 func (c *controlNode) assign(ctx context.Context, request wire.PlaceRequest) wire.PlaceReply {
 	ask := dispatch.Ask{Account: request.Account, Priority: request.Priority, Within: request.Within(), Tried: request.Tried}
 	place, err := c.desk.Ask(ctx, request.Service, ask)
@@ -63,19 +63,19 @@
 	return wire.PlaceReply{Known: true, Replica: place.Replica, Ticket: place.Ticket, RetryMS: place.RetryAfter.Milliseconds()}
 }
 
-// released takes in a release; a node that does not lead knows no such ticket.
-func (c *controlNode) released(release wire.PlaceRelease) {
+// handleRelease handles a release; a node that does not lead does not know the ticket and ignores it.
+func (c *controlNode) handleRelease(release wire.PlaceRelease) {
 	c.desk.Release(release.Service, release.Ticket, dispatch.Outcome(release.Outcome), time.Duration(release.TookMS)*time.Millisecond)
 }
 
-// passRelease tells the leader, if that is another node.
-func (c *controlNode) passRelease(release wire.PlaceRelease) {
+// forwardRelease forwards a release to the leader, if that is another node.
+func (c *controlNode) forwardRelease(release wire.PlaceRelease) {
 	lead := c.cluster.Leadership()
 	if lead.Self || lead.Address == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), noteWait)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	// A release that is lost is made good by the ticket's end.
+	// If a release is lost, the ticket expires.
 	_ = c.links.Client(lead.Address).Notify(ctx, wire.MethodReleased, release)
 }
--- a/src/fleet/quarantine.go
+++ b/src/fleet/quarantine.go
@@ -14,43 +14,43 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of spreading what is known of contents under which replicas ended. With nothing
-// known nothing is sent.
+// The intervals of sharing the digests of contents that crash replicas. Nothing is sent while there
+// are none.
 const (
-	// reportWithin bounds one report of a gateway, reportAgain is the pause after one that no
-	// control node took.
-	reportWithin = 500 * time.Millisecond
-	reportAgain  = 100 * time.Millisecond
-	// reportEvery and reportFor repeat what a gateway saw itself: the control node that took
-	// the report may be lost before it has passed it on.
-	reportEvery = time.Second
-	reportFor   = 10 * time.Second
-	// exchangeEvery is how often a control node tells another one all that it knows, for one
-	// that was restarted or cut off.
-	exchangeEvery = time.Second
-	// tellGateways is from how many ends on a content is told to gateways and saved.
-	tellGateways = 2
+	// reportTimeout bounds one report of a gateway, reportRetry is the pause after one that no
+	// control node accepted.
+	reportTimeout = 500 * time.Millisecond
+	reportRetry   = 100 * time.Millisecond
+	// reportInterval and reportDuration set how often and how long a gateway repeats its own
+	// observations: the control node that accepted a report may fail before it has forwarded it.
+	reportInterval = time.Second
+	reportDuration = 10 * time.Second
+	// exchangeInterval is how often a control node sends all entries to another one, which may have
+	// been restarted or disconnected.
+	exchangeInterval = time.Second
+	// minSharedEnds is the number of crashes from which on a content is sent to gateways and saved.
+	minSharedEnds = 2
 )
 
-// newTable returns a table whose changes are logged.
-func newTable(ring *event.Ring) *quarantine.Table {
+// newQuarantineTable returns a quarantine table that logs its changes.
+func newQuarantineTable(ring *event.Ring) *quarantine.Table {
 	return quarantine.NewTable(func(change quarantine.Change) {
 		switch {
 		case change.Held:
 			ring.Add(event.Event{Kind: event.ContentHeld, Reason: fmt.Sprintf("content %s for %s; ended under it: %s", change.Digest, change.For, strings.Join(change.Ends, " "))})
 		case len(change.Ends) > 0:
-			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: its time is over; ended under it: %s", change.Digest, strings.Join(change.Ends, " "))})
+			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: the quarantine expired; ended under it: %s", change.Digest, strings.Join(change.Ends, " "))})
 		default:
-			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: a run came to a good end, or an operator lifted it", change.Digest)})
+			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: a run succeeded, or an operator lifted the quarantine", change.Digest)})
 		}
 	})
 }
 
-// shareEnds tells control nodes under which contents this gateway saw replicas end, and which
-// of them it saw come to a good end, until one has taken it.
+// shareEnds reports the contents that this gateway saw crash replicas, and those that it saw
+// succeed, until a control node has accepted the report.
 func (g *gateway) shareEnds(ctx context.Context) {
 	var told uint64
-	again := time.NewTimer(reportEvery)
+	again := time.NewTimer(reportInterval)
 	defer again.Stop()
 	for {
 		select {
@@ -59,7 +59,7 @@
 		case <-g.guard.Changed():
 		case <-again.C:
 		}
-		pause := reportEvery
+		pause := reportInterval
 		entries, stamp := g.guard.OwnSince(time.Now(), told)
 		switch {
 		case len(entries) == 0:
@@ -67,40 +67,40 @@
 		case g.reportEnds(ctx, entries):
 			told = stamp
 		default:
-			pause = reportAgain
+			pause = reportRetry
 		}
 		again.Reset(pause)
 	}
 }
 
-// reportEnds reports whether a control node has taken the entries.
+// reportEnds sends entries and reports whether a control node has accepted them.
 func (g *gateway) reportEnds(ctx context.Context, entries []quarantine.Entry) bool {
-	ctx, cancel := context.WithTimeout(ctx, reportWithin)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, err := feed.Ask[wire.Empty](ctx, g.follower, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 	return err == nil
 }
 
-// repeatEnds tells the nearest control node again what this gateway saw lately.
+// repeatEnds sends this gateway's recent observations to the nearest control node again.
 func (g *gateway) repeatEnds(ctx context.Context) {
-	if entries := g.guard.OwnWithin(time.Now(), reportFor); len(entries) > 0 {
+	if entries := g.guard.OwnWithin(time.Now(), reportDuration); len(entries) > 0 {
 		g.follower.NotifyNearest(ctx, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 	}
 }
 
-// takeQuarantine takes in what a gateway or another control node knows.
-func (c *controlNode) takeQuarantine(_ context.Context, _ *rpc.Peer, told wire.Quarantine) (wire.Empty, error) {
+// handleQuarantine handles the entries of a gateway or another control node.
+func (c *controlNode) handleQuarantine(_ context.Context, _ *rpc.Peer, told wire.Quarantine) (wire.Empty, error) {
 	c.quarantine.Merge(time.Now(), told.Entries)
 	return wire.Empty{}, nil
 }
 
-// listQuarantine returns all that this control node knows.
+// listQuarantine returns all entries of this control node.
 func (c *controlNode) listQuarantine(context.Context, *rpc.Peer, wire.Empty) (wire.Quarantine, error) {
 	entries, _ := c.quarantine.Since(time.Now(), 0)
 	return wire.Quarantine{Entries: entries}, nil
 }
 
-// liftQuarantine lets contents through again by an operator's word.
+// liftQuarantine lifts the quarantine of contents for an operator.
 func (c *controlNode) liftQuarantine(_ context.Context, _ *rpc.Peer, request wire.LiftRequest) (wire.LiftReply, error) {
 	now := time.Now()
 	entries, _ := c.quarantine.Since(now, 0)
@@ -117,10 +117,10 @@
 	return reply, nil
 }
 
-// passQuarantine tells gateways and the other control nodes what is new.
-func (c *controlNode) passQuarantine(ctx context.Context) {
+// forwardQuarantine sends new entries to gateways and the other control nodes.
+func (c *controlNode) forwardQuarantine(ctx context.Context) {
 	var passed uint64
-	all := time.NewTicker(exchangeEvery)
+	all := time.NewTicker(exchangeInterval)
 	defer all.Stop()
 	for {
 		select {
@@ -128,7 +128,7 @@
 			return
 		case <-all.C:
 			c.quarantine.Sweep(time.Now())
-			c.tellOneAll(ctx)
+			c.notifyRandomPeer(ctx)
 			continue
 		case <-c.quarantine.Changed():
 		}
@@ -136,27 +136,27 @@
 		entries, stamp := c.quarantine.Since(now, passed)
 		passed = stamp
 		for _, address := range c.cluster.Peers() {
-			go c.tell(ctx, address, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
+			go c.notify(ctx, address, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 		}
-		c.toldQuarantine.Store(&wire.Quarantine{Entries: c.quarantine.Entries(now, tellGateways)})
+		c.sharedQuarantine.Store(&wire.Quarantine{Entries: c.quarantine.Entries(now, minSharedEnds)})
 		c.relay.Wake()
 		c.toSave.Raise()
 	}
 }
 
-// tellOneAll tells one other control node all that is known.
-func (c *controlNode) tellOneAll(ctx context.Context) {
+// notifyRandomPeer sends all entries to one other control node.
+func (c *controlNode) notifyRandomPeer(ctx context.Context) {
 	peers := c.cluster.Peers()
 	entries, _ := c.quarantine.Since(time.Now(), 0)
 	if len(entries) == 0 || len(peers) == 0 {
 		return
 	}
-	go c.tell(ctx, peers[rand.IntN(len(peers))], wire.MethodQuarantine, wire.Quarantine{Entries: entries})
+	go c.notify(ctx, peers[rand.IntN(len(peers))], wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 }
 
-// keepQuarantine keeps on the disk what gateways are told, apart from the telling, since a disk
-// may hang.
-func (c *controlNode) keepQuarantine(ctx context.Context) {
+// saveQuarantine saves what gateways are sent. It runs apart from the sending, since a disk may
+// hang.
+func (c *controlNode) saveQuarantine(ctx context.Context) {
 	again := time.NewTimer(time.Hour)
 	defer again.Stop()
 	for {
@@ -166,7 +166,7 @@
 		case <-c.toSave.Raised():
 		case <-again.C:
 		}
-		known := c.toldQuarantine.Load()
+		known := c.sharedQuarantine.Load()
 		if known == nil || len(known.Entries) == 0 {
 			continue
 		}
@@ -177,11 +177,11 @@
 	}
 }
 
-// recallQuarantine takes in what was known before a restart.
-func (c *controlNode) recallQuarantine() {
+// restoreQuarantine loads the entries saved before a restart.
+func (c *controlNode) restoreQuarantine() {
 	entries, err := c.quarantineFile.Load()
 	if err != nil {
-		c.proc.Ring().Add(event.Event{Kind: event.StorageFailed, Reason: "the quarantine known before is not recalled: " + err.Error()})
+		c.proc.Ring().Add(event.Event{Kind: event.StorageFailed, Reason: "the quarantine saved before the restart was not restored: " + err.Error()})
 		return
 	}
 	c.quarantine.Merge(time.Now(), entries)
--- a/src/fleet/recall.go
+++ b/src/fleet/recall.go
@@ -6,7 +6,7 @@
 	"github.com/moorspool/moorspool/src/store"
 )
 
-// saveReplicas returns the function that keeps the known replicas in a file.
+// saveReplicas returns the function that saves the known replicas to a file.
 func (c *controlNode) saveReplicas(file *store.ReplicaFile) func([]registry.Record) error {
 	return func(records []registry.Record) error {
 		err := file.Save(records)
@@ -17,12 +17,12 @@
 	}
 }
 
-// recall takes in the replicas known before a restart; a file that can't be read
-// costs a heartbeat's time, not the start.
-func (c *controlNode) recall(file *store.ReplicaFile) {
+// restoreReplicas loads the replicas known before a restart. If the file can't be read, the node
+// starts without them and learns them from the next heartbeats.
+func (c *controlNode) restoreReplicas(file *store.ReplicaFile) {
 	records, err := file.Load()
 	if err != nil {
-		c.proc.Ring().Add(event.Event{Kind: event.StorageFailed, Reason: "the replicas known before are not recalled: " + err.Error()})
+		c.proc.Ring().Add(event.Event{Kind: event.StorageFailed, Reason: "the replicas known before the restart were not restored: " + err.Error()})
 		return
 	}
 	c.publisher.Recall(records)
--- a/src/fleet/share.go
+++ b/src/fleet/share.go
@@ -11,25 +11,26 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// load takes in a gateway's report; the next round of totals goes there too.
-func (c *controlNode) load(_ context.Context, peer *rpc.Peer, report wire.LoadReport) (wire.Empty, error) {
+// handleLoad handles a gateway's load report; the next totals are sent to this gateway too.
+func (c *controlNode) handleLoad(_ context.Context, peer *rpc.Peer, report wire.LoadReport) (wire.Empty, error) {
 	if peer == nil {
 		return wire.Empty{}, rpc.ErrUnreachable
 	}
 	c.board.Report(clock.Now(), report, func(totals wire.LoadReport) {
-		// A gateway that is not reached has lost its connection and reports anew.
+		// An unreachable gateway has lost its connection and will report again.
 		_ = peer.Notify(wire.MethodLoadTotals, totals)
 	})
 	return wire.Empty{}, nil
 }
 
-func (c *controlNode) loadSum(_ context.Context, _ *rpc.Peer, sum wire.LoadReport) (wire.Empty, error) {
+// handleLoadSum handles the sum of another control node's gateways.
+func (c *controlNode) handleLoadSum(_ context.Context, _ *rpc.Peer, sum wire.LoadReport) (wire.Empty, error) {
 	c.board.TakeSum(clock.Now(), sum)
 	return wire.Empty{}, nil
 }
 
-// shareLoad tells the gateways here what all have under way, and the other control
-// nodes what the gateways here have.
+// shareLoad sends the total load to this node's gateways, and the sum of these gateways to the
+// other control nodes.
 func (c *controlNode) shareLoad(ctx context.Context) {
 	var sums loadview.Sums
 	for {
@@ -38,46 +39,48 @@
 			return
 		case <-c.board.Changed():
 		}
-		totals, sum, tell := c.board.Round(clock.Now())
-		for _, send := range tell {
+		totals, sum, notify := c.board.Round(clock.Now())
+		for _, send := range notify {
 			go send(totals)
 		}
 		if sums.Due(clock.Now(), sum.Loads) {
 			sum.Node = c.settings.Node
 			for _, address := range c.cluster.Peers() {
-				go c.tell(ctx, address, wire.MethodLoadSum, sum)
+				go c.notify(ctx, address, wire.MethodLoadSum, sum)
 			}
 		}
-		time.Sleep(c.tellPause(loadview.Pause(c.follower.Gateways(), c.publisher.Replicas())))
+		time.Sleep(c.sharePause(loadview.Pause(c.follower.Gateways(), c.publisher.Replicas())))
 	}
 }
 
-// tellPause returns the pause after gateways were told something, which is no shorter than
-// what telling all of them may cost: a node that has just started knows of few replicas and
-// has all gateways.
-func (c *controlNode) tellPause(pause time.Duration) time.Duration { return max(pause, c.relay.Join()) }
+// sharePause returns the pause after gateways were sent something. It is no shorter than the time
+// that sending to all of them may take: a node that has just started knows few replicas but has all
+// its gateways.
+func (c *controlNode) sharePause(pause time.Duration) time.Duration {
+	return max(pause, c.relay.Join())
+}
 
-// tell sends a notification to one control node; a lost one is made good by the next.
-func (c *controlNode) tell(ctx context.Context, address, method string, params any) {
-	ctx, cancel := context.WithTimeout(ctx, noteWait)
+// notify sends a notification to one control node; a lost one is corrected by the next.
+func (c *controlNode) notify(ctx context.Context, address, method string, params any) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	_ = c.links.Client(address).Notify(ctx, method, params)
 }
 
-// sent takes in which prompts a gateway has sent.
-func (c *controlNode) sent(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
+// handleSent handles a gateway's report on the prompts that it has sent.
+func (c *controlNode) handleSent(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
 	c.backlog.Add(clock.Now(), report.Sent, true)
 	return wire.Empty{}, nil
 }
 
-// sentSum takes in which prompts the gateways of another control node have sent.
-func (c *controlNode) sentSum(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
+// handleSentSum handles the prompts sent by the gateways of another control node.
+func (c *controlNode) handleSentSum(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
 	c.backlog.Add(clock.Now(), report.Sent, false)
 	return wire.Empty{}, nil
 }
 
-// passSent tells the other control nodes which prompts the gateways here have sent.
-func (c *controlNode) passSent(ctx context.Context) {
+// forwardSent sends the prompts of this node's gateways to the other control nodes.
+func (c *controlNode) forwardSent(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -87,12 +90,13 @@
 		time.Sleep(loadview.BacklogJoin)
 		own := wire.SentReport{Sent: c.backlog.Own()}
 		for _, address := range c.cluster.Peers() {
-			go c.tell(ctx, address, wire.MethodSentSum, own)
+			go c.notify(ctx, address, wire.MethodSentSum, own)
 		}
 	}
 }
 
-// shareBacklog tells the gateways here what replicas have still to read.
+// shareBacklog sends to this node's gateways how much of the prompts each replica has yet to
+// process.
 func (c *controlNode) shareBacklog(ctx context.Context) {
 	for {
 		select {
@@ -106,6 +110,6 @@
 		} else {
 			c.relay.Tell(totals)
 		}
-		time.Sleep(c.tellPause(loadview.BacklogPause(c.follower.Gateways(), c.publisher.Replicas())))
+		time.Sleep(c.sharePause(loadview.BacklogPause(c.follower.Gateways(), c.publisher.Replicas())))
 	}
 }
--- a/src/fleet/tables.go
+++ b/src/fleet/tables.go
@@ -7,8 +7,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// tables keeps the decoded form of the newest configuration; it is safe for concurrent use.
-type tables struct {
+// tableCache holds the decoded form of the newest configuration; it is safe for concurrent use.
+type tableCache struct {
 	decode func(raw []byte) (catalog.Document, error)
 
 	mu      sync.Mutex
@@ -16,9 +16,9 @@
 	table   *catalog.Table
 }
 
-// get returns the table of a version, nil if there is none; document is asked
-// only when the version is new.
-func (t *tables) get(version uint64, document func() wire.Document) *catalog.Table {
+// get returns the table of a version, nil if there is none; document is called only for a new
+// version.
+func (t *tableCache) get(version uint64, document func() wire.Document) *catalog.Table {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version == 0 || version == t.version {
@@ -34,7 +34,7 @@
 	return t.table
 }
 
-// decode unpacks and reads a configuration.
+// decode unpacks and parses a configuration.
 func decode(held wire.Document, read func(raw []byte) (catalog.Document, error)) (catalog.Document, error) {
 	raw, err := wire.Unpack(held.Packed)
 	if err != nil {
--- a/src/fleet/unknown.go
+++ b/src/fleet/unknown.go
@@ -7,25 +7,25 @@
 	"github.com/moorspool/moorspool/src/process"
 )
 
-// maxUnknownWords bounds the names that are told and counted by themselves: they are backend servers'
-// to choose.
-const maxUnknownWords = 32
+// maxUnknownNames bounds the names that are logged and counted separately, since backend servers
+// choose them.
+const maxUnknownNames = 32
 
-// unknownWords notes what backend servers say that the product does not know. Such a word may ask
-// for something, which nobody would see without a line. It is safe for concurrent use.
-type unknownWords struct {
+// unknownNames records headers and fields of backend servers that moorspool does not know, which
+// could otherwise go unnoticed. It is safe for concurrent use.
+type unknownNames struct {
 	proc *process.Process
 
 	mu    sync.Mutex
 	known map[string]bool
 }
 
-func newUnknownWords(proc *process.Process) *unknownWords {
-	return &unknownWords{proc: proc, known: map[string]bool{}}
+func newUnknownNames(proc *process.Process) *unknownNames {
+	return &unknownNames{proc: proc, known: map[string]bool{}}
 }
 
-// note logs each name once and counts it each time; names beyond the bound are counted together.
-func (u *unknownWords) note(server string, names []string) {
+// note logs each name once and counts each occurrence; names beyond the bound are counted together.
+func (u *unknownNames) note(server string, names []string) {
 	for _, name := range names {
 		label, first := u.label(name)
 		u.proc.Metrics().CountOf("unknown_words_total", "name", label).Inc(1)
@@ -35,14 +35,14 @@
 	}
 }
 
-// label returns under which name a word is counted, and whether it is new.
-func (u *unknownWords) label(name string) (label string, first bool) {
+// label returns the label under which a name is counted, and whether the name is new.
+func (u *unknownNames) label(name string) (label string, first bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
 	case u.known[name]:
 		return name, false
-	case len(u.known) >= maxUnknownWords:
+	case len(u.known) >= maxUnknownNames:
 		return "others", false
 	}
 	u.known[name] = true
--- a/src/fleet/unknown_test.go
+++ b/src/fleet/unknown_test.go
@@ -7,11 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// TestUnknownWordsAreBounded: each name is new once, and those beyond the bound are one.
-func TestUnknownWordsAreBounded(t *testing.T) {
+// TestUnknownNamesAreBounded checks that each name is new once, and that names beyond the bound
+// share a label.
+func TestUnknownNamesAreBounded(t *testing.T) {
 	is := is.New(t)
-	words := newUnknownWords(nil)
-	for i := range maxUnknownWords {
+	words := newUnknownNames(nil)
+	for i := range maxUnknownNames {
 		name := fmt.Sprint("Server-Word-", i)
 		label, first := words.label(name)
 		is.Equal(label, name)
--- a/src/fleet/usage.go
+++ b/src/fleet/usage.go
@@ -10,34 +10,34 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times at which a control node passes on what its gateways' requests ask for.
+// The intervals at which a control node forwards its gateways' usage reports.
 const (
-	// usageEvery is how often the leader is told: its plans are as far apart.
-	usageEvery = 250 * time.Millisecond
-	// usageSoon is how long a report of missing copies waits for others like it.
-	usageSoon = 10 * time.Millisecond
-	// usageOthersEvery is how often those that do not lead are told, so that the next
-	// leader does not begin with nothing.
-	usageOthersEvery = 2 * time.Second
+	// usageInterval is the interval of reports to the leader, the same as that of its planning.
+	usageInterval = 250 * time.Millisecond
+	// usageBatchDelay is how long a report of missing copies waits for further ones.
+	usageBatchDelay = 10 * time.Millisecond
+	// usageFollowerInterval is the interval of reports to control nodes that do not lead; the next
+	// leader starts with them.
+	usageFollowerInterval = 2 * time.Second
 )
 
-// takeUsage takes in a gateway's report.
-func (c *controlNode) takeUsage(_ context.Context, _ *rpc.Peer, usage wire.Usage) (wire.Empty, error) {
+// handleUsage handles a gateway's report.
+func (c *controlNode) handleUsage(_ context.Context, _ *rpc.Peer, usage wire.Usage) (wire.Empty, error) {
 	c.usage.Add(usage.Models)
 	return wire.Empty{}, nil
 }
 
-// takeUsageSum takes in what the gateways of a control node, which may be this one, ask for.
-func (c *controlNode) takeUsageSum(_ context.Context, _ *rpc.Peer, usage wire.Usage) (wire.Empty, error) {
+// handleUsageSum handles the sum of a control node's gateways; it may come from this node.
+func (c *controlNode) handleUsageSum(_ context.Context, _ *rpc.Peer, usage wire.Usage) (wire.Empty, error) {
 	c.placer.TakeUsage(usage)
 	return wire.Empty{}, nil
 }
 
-// passUsage tells the leader, which thus hears of each control node once and not of each
-// gateway, and more rarely the others, what the gateways here ask for.
-func (c *controlNode) passUsage(ctx context.Context) {
-	kept := exchange.NewDemand()
-	othersAt := clock.Now()
+// forwardUsage sends the sum of this node's gateways to the leader, so that the leader gets one report
+// per control node rather than per gateway, and less often to the other control nodes.
+func (c *controlNode) forwardUsage(ctx context.Context) {
+	forFollowers := exchange.NewDemand()
+	followersToldAt := clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -47,29 +47,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(usageEvery):
+		case <-time.After(usageInterval):
 		case <-c.usage.Urgent():
-			time.Sleep(usageSoon)
+			time.Sleep(usageBatchDelay)
 		}
 		models := c.usage.Drain()
 		if len(models) == 0 {
 			continue
 		}
 		c.follower.NotifyLeader(ctx, wire.MethodUsageSum, wire.Usage{Node: c.settings.Node, Models: models})
-		kept.Add(withoutMissing(models))
-		if now := clock.Now(); now.Sub(othersAt) >= usageOthersEvery {
-			othersAt = now
-			c.follower.NotifyOthers(ctx, wire.MethodUsageSum, wire.Usage{Node: c.settings.Node, Models: kept.Drain()})
+		forFollowers.Add(withoutMissing(models))
+		if now := clock.Now(); now.Sub(followersToldAt) >= usageFollowerInterval {
+			followersToldAt = now
+			c.follower.NotifyOthers(ctx, wire.MethodUsageSum, wire.Usage{Node: c.settings.Node, Models: forFollowers.Drain()})
 		}
 	}
 }
 
-// withoutMissing leaves out which copies are missing: who is told late can't help.
+// withoutMissing removes the counts of missing copies, on which only the leader acts.
 func withoutMissing(models []wire.Asked) []wire.Asked {
-	told := make([]wire.Asked, 0, len(models))
+	reduced := make([]wire.Asked, 0, len(models))
 	for _, asked := range models {
 		asked.Missing = 0
-		told = append(told, asked)
+		reduced = append(reduced, asked)
 	}
-	return told
+	return reduced
 }
--- a/src/fleet/usage_test.go
+++ b/src/fleet/usage_test.go
@@ -8,7 +8,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestOthersAreNotToldOfMissingCopies: who is told late can't help.
+// TestOthersAreNotToldOfMissingCopies: only the leader acts on missing copies.
 func TestOthersAreNotToldOfMissingCopies(t *testing.T) {
 	is := is.New(t)
 	models := []wire.Asked{{Service: "s", Model: "m", Requests: 2, Tokens: 40, Missing: 1}}
--- a/src/fleet/zone.go
+++ b/src/fleet/zone.go
@@ -10,17 +10,17 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// callerWait is how long an order about a zone waits to learn that its caller has hung up: the
-// order of a caller that gave up a while ago, on a host that was suspended or cut off, reaches
-// this process together with the end of its connection. Reading both takes less than 1 ms.
-const callerWait = 20 * time.Millisecond
+// hangUpWait is how long a zone order waits for its caller's connection to turn out closed: after a
+// suspension or a network outage, an order that its caller gave up long ago arrives together with
+// the end of its connection. Reading both takes less than 1 ms.
+const hangUpWait = 20 * time.Millisecond
 
-// orderZone carries out an operator's order to drain an availability zone, or to end that.
+// orderZone starts or ends the drain of an availability zone.
 func (c *controlNode) orderZone(ctx context.Context, zone string, drain bool) ZoneOrderResult {
 	return c.orderZoneBy(ctx, zone, drain, "a call")
 }
 
-// orderZoneBy is orderZone with who asks, for the log.
+// orderZoneBy is orderZone with the origin of the order for the log.
 func (c *controlNode) orderZoneBy(ctx context.Context, zone string, drain bool, by string) ZoneOrderResult {
 	note := func(kind event.Kind, reason string) {
 		c.proc.Ring().Add(event.Event{Kind: kind, Zone: zone, Reason: describeOrder(drain, by, reason)})
@@ -34,7 +34,7 @@
 	case <-ctx.Done():
 		note(event.ZoneOrderRefused, "the caller has hung up")
 		return ZoneOrderResult{Reason: "the caller has hung up"}
-	case <-time.After(callerWait):
+	case <-time.After(hangUpWait):
 	}
 	reply := c.cluster.OrderZone(ctx, zone, drain)
 	if reply.Outcome != wire.Accepted {
@@ -45,7 +45,7 @@
 	return ZoneOrderResult{Done: true}
 }
 
-// describeOrder says in a log line what was ordered by whom, and why it was not done.
+// describeOrder describes a zone order for the log: the action, its origin and why it was refused.
 func describeOrder(drain bool, by, reason string) string {
 	what := "drain"
 	if !drain {
@@ -58,13 +58,13 @@
 	return what
 }
 
-// takeDrains lets nothing new be placed in drained zones.
-func (c *controlNode) takeDrains(drains *wire.ZoneDrains) {
+// setDrains stops new placements in drained zones.
+func (c *controlNode) setDrains(drains *wire.ZoneDrains) {
 	c.placer.SetDrains(drains)
 	c.desk.SetDrains(drains)
 }
 
-// registerZones adds the operator's methods on our own interface.
+// registerZones registers the operator's methods of moorspool's own API.
 func (c *controlNode) registerZones() {
 	c.proc.Mux().Handle(wire.MethodZoneDrain, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.ZoneDrainRequest) (wire.ZoneReply, error) {
 		got := c.orderZoneBy(ctx, request.Zone, request.Drain, request.By)
