--- a/src/option/doc.go
+++ b/src/option/doc.go
@@ -1,3 +1,3 @@
-// Package option holds every setting of every binary in one place: defaults,
-// parsing, checks and usage.
+// Package option defines the command-line options and settings of the servers: parsing, defaults
+// and checks.
 package option
--- a/src/option/fleet.go
+++ b/src/option/fleet.go
@@ -9,35 +9,35 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// Seeded is what the servers need that find each other from seeds.
+// Seeded are the settings of servers that find each other through seed addresses.
 type Seeded struct {
-	// Node names this process, Zone is the availability zone it stands in.
+	// Node is this process's name, Zone its availability zone.
 	Node string `yaml:"node"`
 	Zone string `yaml:"zone"`
-	// Address is the IP number of this host.
+	// Address is the IP address at which other hosts reach this one.
 	Address string `yaml:"address"`
-	// Listen is the IP number to listen at where others reach this host by another
-	// one, as behind a forwarder; left out, it is Address.
+	// Listen is the IP address to listen at, if it differs from Address, as behind a port
+	// forwarder; by default it is Address.
 	Listen string `yaml:"listen"`
-	// PeerPort is where the system's processes talk with each other, alike on all hosts.
+	// PeerPort is the port of the control protocol, the same on all hosts.
 	PeerPort int `yaml:"peerPort"`
-	// AdminPort is where metrics, status and events are read.
+	// AdminPort is the port of metrics, status and events.
 	AdminPort int `yaml:"adminPort"`
-	// Zones are the availability zones of the installation with the region of each; left out,
-	// nothing is known of regions, and orders about any zone are taken.
+	// Zones are the installation's availability zones with the region of each. Without them,
+	// regions are unknown and orders about any zone are accepted.
 	Zones map[string]string `yaml:"zones"`
-	// Seeds are addresses of hosts on which control nodes may be found; their ports do not count.
+	// Seeds are addresses of hosts that may run control nodes; their ports are ignored.
 	Seeds []string `yaml:"seeds"`
-	// MemoryMB is what the process may use, 0 for no limit.
+	// MemoryMB is the memory that the process may use, 0 for no limit.
 	MemoryMB int        `yaml:"memoryMB"`
 	Log      LogSetting `yaml:"log"`
 	Events   int        `yaml:"events"`
 }
 
-// Common returns the settings in the form that all servers share.
+// Common returns these settings as Common.
 func (s *Seeded) Common() Common {
 	return Common{
-		Cluster: seededCluster,
+		Cluster: seededClusterName,
 		Node:    s.Node,
 		Zone:    s.Zone,
 		Control: net.JoinHostPort(s.listen(), strconv.Itoa(s.PeerPort)),
@@ -54,10 +54,10 @@
 	return s.Listen
 }
 
-// Peer returns the address at which other processes of the system reach this one.
+// Peer returns the address at which moorspool's other processes reach this one.
 func (s *Seeded) Peer() string { return net.JoinHostPort(s.Address, strconv.Itoa(s.PeerPort)) }
 
-// SeedPeers returns the seeds' addresses with the port for peers.
+// SeedPeers returns the seeds' addresses with PeerPort in place of their own ports.
 func (s *Seeded) SeedPeers() []string {
 	var peers []string
 	for _, seed := range s.Seeds {
@@ -69,39 +69,42 @@
 	return peers
 }
 
-// seededCluster names every installation that is found from seeds.
-const seededCluster = "seeded"
+// seededClusterName is the name of every installation that uses seeds.
+const seededClusterName = "seeded"
 
 // FleetGateway are the settings of moorspool-fleet-gateway.
 type FleetGateway struct {
 	Seeded `yaml:",inline"`
-	// Clients is where clients' requests come in, Ready where the balancer asks.
+	// Clients is the address that clients send requests to, Ready that of the load balancer's
+	// readiness check.
 	Clients string `yaml:"clients"`
 	Ready   string `yaml:"ready"`
-	// StopLimit is how long a planned stop may take.
+	// StopLimit is the longest time of a planned stop.
 	StopLimit config.Duration `yaml:"stopLimit"`
-	// BalancerLag is how long the balancer may still send after readiness ends.
+	// BalancerLag is how long the load balancer may still send requests after the readiness check
+	// fails.
 	BalancerLag config.Duration `yaml:"balancerLag"`
-	// Retry bounds the arrivals beyond the first of each request, over all gateways.
+	// Retry bounds the attempts after the first one of each request, over all gateways.
 	Retry RetrySetting `yaml:"retry"`
-	// Trust is how long requests with a key are served after the configuration was last
-	// known to be the newest, 0 for ever.
+	// Trust is how long requests with a key are served after the gateway last confirmed that its
+	// configuration is the newest, 0 for no limit.
 	Trust config.Duration `yaml:"trust"`
-	// Quota says how exactly limits of client accounts are kept.
+	// Quota configures how precisely the limits of client accounts are enforced.
 	Quota QuotaSetting `yaml:"quota"`
 }
 
-// QuotaSetting says how exactly limits of client accounts are kept, over all gateways.
+// QuotaSetting configures how precisely the limits of client accounts are enforced over all
+// gateways.
 type QuotaSetting struct {
-	// Window is the span over which use is counted.
+	// Window is the time over which use is counted.
 	Window config.Duration `yaml:"window"`
-	// Overage is the part of a limit by which a window's use may exceed it, Slack what may
-	// come on top, in the limit's unit.
+	// Overage is the part of a limit by which the use in a window may exceed it, Slack a further
+	// excess in the limit's unit.
 	Overage float64 `yaml:"overage"`
 	Slack   float64 `yaml:"slack"`
 }
 
-// RetrySetting bounds retries over all gateways.
+// RetrySetting bounds the retries of all gateways together.
 type RetrySetting struct {
 	Ratio  float64         `yaml:"ratio"`
 	Extra  float64         `yaml:"extra"`
@@ -111,54 +114,56 @@
 // FleetControl are the settings of moorspool-fleet-control.
 type FleetControl struct {
 	Seeded `yaml:",inline"`
-	// Calls is where operators and replicas call.
+	// Calls is the address that operators and replicas send requests to.
 	Calls  string `yaml:"calls"`
 	Folder string `yaml:"folder"`
-	// Found lets an empty folder found the installation together with the seeds.
+	// Found allows a node with an empty folder to found the installation together with the seeds.
 	Found bool `yaml:"found"`
-	// Tolerance is how many control nodes may be lost at once.
+	// Tolerance is the number of control nodes that may fail at the same time.
 	Tolerance int `yaml:"tolerance"`
-	// Heartbeat is how often a replica calls.
+	// Heartbeat is the interval of a replica's heartbeats.
 	Heartbeat config.Duration `yaml:"heartbeat"`
-	// Lease is how long two holders must keep apart.
+	// Lease is the minimum time between the orders of two successive leaders.
 	Lease config.Duration `yaml:"lease"`
-	// Store bounds loads from the weight store beyond their rate.
+	// Store bounds how far loads from the weight store may exceed its rate.
 	Store StoreSetting `yaml:"store"`
-	// ResendOrders is for how long an operator sends an order about a zone again.
+	// ResendOrders is how long an operator keeps resending an unacknowledged order about a zone.
 	ResendOrders config.Duration `yaml:"resendOrders"`
-	// Quota says how exactly limits of client accounts are kept; gateways have the same.
+	// Quota configures how precisely the limits of client accounts are enforced; gateways need the
+	// same setting.
 	Quota QuotaSetting `yaml:"quota"`
 }
 
-// StoreSetting says how the weight store's rate is counted.
+// StoreSetting configures how the rate of the weight store is counted.
 type StoreSetting struct {
 	Window  config.Duration `yaml:"window"`
 	Overage float64         `yaml:"overage"`
 }
 
-// The defaults of the servers that find each other from seeds.
+// The defaults of servers that use seeds.
 const (
-	defaultStopLimit   = 8 * time.Second
-	defaultRetryRatio  = 0.1
-	defaultRetryExtra  = 10
-	defaultRetryWindow = 10 * time.Second
-	defaultHeartbeat   = time.Second
-	defaultLease       = 3 * time.Second
-	defaultStoreWindow = 5 * time.Second
-	defaultTolerance   = 1
-	defaultResend      = 8 * time.Second
-	defaultQuotaWindow = 10 * time.Second
-	defaultOverage     = 0.1
-	defaultAdminPort   = 7399
-	// logLevelOfRequests writes a line for each request.
-	logLevelOfRequests = "debug"
+	defaultStopLimit    = 8 * time.Second
+	defaultRetryRatio   = 0.1
+	defaultRetryExtra   = 10
+	defaultRetryWindow  = 10 * time.Second
+	defaultHeartbeat    = time.Second
+	defaultLease        = 3 * time.Second
+	defaultStoreWindow  = 5 * time.Second
+	defaultTolerance    = 1
+	defaultResendOrders = 8 * time.Second
+	defaultQuotaWindow  = 10 * time.Second
+	defaultOverage      = 0.1
+	defaultAdminPort    = 7399
+	// requestLogLevel is the level at which each request is logged.
+	requestLogLevel = "debug"
 )
 
 func defaultSeeded() Seeded {
-	return Seeded{AdminPort: defaultAdminPort, Log: LogSetting{Level: logLevelOfRequests}, Events: DefaultEvents}
+	return Seeded{AdminPort: defaultAdminPort, Log: LogSetting{Level: requestLogLevel}, Events: DefaultEvents}
 }
 
-// LoadFleetGateway reads and checks a gateway's settings; its error is config.Findings for bad ones.
+// LoadFleetGateway reads and checks a gateway's settings; invalid settings give a config.Findings
+// error.
 func LoadFleetGateway(file string) (FleetGateway, error) {
 	s := FleetGateway{
 		Seeded:      defaultSeeded(),
@@ -184,7 +189,8 @@
 	})
 }
 
-// LoadFleetControl reads and checks a control node's settings; its error is config.Findings for bad ones.
+// LoadFleetControl reads and checks a control node's settings; invalid settings give a
+// config.Findings error.
 func LoadFleetControl(file string) (FleetControl, error) {
 	s := FleetControl{
 		Seeded:    defaultSeeded(),
@@ -194,7 +200,7 @@
 		Store:     StoreSetting{Window: config.Duration(defaultStoreWindow), Overage: 1},
 		Quota:     defaultQuota(),
 
-		ResendOrders: config.Duration(defaultResend),
+		ResendOrders: config.Duration(defaultResendOrders),
 	}
 	return s, load(file, &s, func(c *checks) {
 		c.seeded(s.Seeded)
@@ -209,7 +215,7 @@
 			c.add("resendOrders", "must not be below 0")
 		}
 		if s.Heartbeat <= 0 || s.Lease <= 0 || s.Store.Window <= 0 {
-			c.add("lease", "must be above 0, as heartbeat and store.window")
+			c.add("lease", "must be above 0, as must heartbeat and store.window")
 		}
 		c.quota(s.Quota)
 	})
--- a/src/option/fleet_test.go
+++ b/src/option/fleet_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-const soundControl = `node: c-1
+const validControl = `node: c-1
 zone: z
 address: 10.0.0.4
 peerPort: 7380
@@ -32,20 +32,20 @@
 
 func TestSeededSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := LoadFleetControl(writeFleet(t, soundControl))
+	s, err := LoadFleetControl(writeFleet(t, validControl))
 	is.NoErr(err)
 	is.Equal(s.Peer(), "10.0.0.4:7380")
-	is.Equal(s.SeedPeers(), []string{"10.0.0.4:7380", "10.0.0.5:7380"}) // the peers' port in place of the seeds'
+	is.Equal(s.SeedPeers(), []string{"10.0.0.4:7380", "10.0.0.5:7380"}) // with the peer port in place of the seeds' ports
 	is.Equal(s.Lease.Std(), 3*time.Second)
 	is.Equal(s.Common().Control, "10.0.0.4:7380")
-	s, err = LoadFleetControl(writeFleet(t, soundControl+"listen: 127.0.0.9\n"))
+	s, err = LoadFleetControl(writeFleet(t, validControl+"listen: 127.0.0.9\n"))
 	is.NoErr(err)
 	is.Equal(s.Peer(), "10.0.0.4:7380")
 	is.Equal(s.Common().Control, "127.0.0.9:7380")
 	is.Equal(s.Common().Admin, "127.0.0.9:7399")
 }
 
-func TestBadSeededSettingsAreFoundWithTheirPlace(t *testing.T) {
+func TestInvalidSeededSettingsAreReportedWithTheirPosition(t *testing.T) {
 	faults := map[string][2]string{
 		"address":   {"address: 10.0.0.4", "address: here"},
 		"peerPort":  {"peerPort: 7380", "peerPort: 0"},
@@ -60,7 +60,7 @@
 	for name, change := range faults {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := LoadFleetControl(writeFleet(t, strings.Replace(soundControl, change[0], change[1], 1)))
+			_, err := LoadFleetControl(writeFleet(t, strings.Replace(validControl, change[0], change[1], 1)))
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), strings.Trim(name, "[1]")))
 			is.True(strings.Contains(err.Error(), "settings.yaml"))
@@ -68,6 +68,6 @@
 	}
 	_, err := LoadFleetGateway(writeFleet(t, "node: g\n"))
 	if err == nil || !strings.Contains(err.Error(), "clients") {
-		t.Errorf("a gateway without an address for clients: %v", err)
+		t.Errorf("a gateway without an address for clients: got error %v", err)
 	}
 }
--- a/src/option/option.go
+++ b/src/option/option.go
@@ -18,7 +18,7 @@
 	"github.com/moorspool/moorspool/src/route"
 )
 
-// Version is the release that this source makes.
+// Version is the release of this source.
 const Version = "0.1.0"
 
 // Flags are the command-line options of the servers.
@@ -32,38 +32,38 @@
 	} `positional-args:"yes"`
 }
 
-// Common is what every server needs.
+// Common are the settings that all servers share.
 type Common struct {
-	// Cluster names the installation; processes of another one are refused.
+	// Cluster is the installation's name; processes of another installation are refused.
 	Cluster string `yaml:"cluster"`
-	// Node names this process.
+	// Node is this process's name.
 	Node string `yaml:"node"`
-	// Zone is the availability zone that this process stands in.
+	// Zone is the availability zone of this process.
 	Zone string `yaml:"zone"`
-	// Control is where other processes of the system reach this one.
+	// Control is the address at which moorspool's other processes reach this one.
 	Control string `yaml:"control"`
-	// Admin is where operators and metrics collectors reach this one.
+	// Admin is the address of the administration API and the metrics.
 	Admin  string     `yaml:"admin"`
 	Log    LogSetting `yaml:"log"`
 	Trace  Trace      `yaml:"trace"`
 	Events int        `yaml:"events"`
-	// Faults allows tests to cut this process off; never set it in production.
+	// Faults allows tests to simulate a network cut of this process; never set it in production.
 	Faults bool `yaml:"faults"`
 }
 
-// LogSetting says what is logged.
+// LogSetting configures the log.
 type LogSetting struct {
 	Level string `yaml:"level"`
 }
 
-// Trace says where spans go; they go nowhere without a file.
+// Trace configures tracing; without a file, no spans are written.
 type Trace struct {
 	File string `yaml:"file"`
-	// Share is the part of requests that is traced.
+	// Share is the part of the requests that are traced, from 0 to 1.
 	Share float64 `yaml:"share"`
 }
 
-// Peer is another process by name and control address.
+// Peer is another process.
 type Peer struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
@@ -73,34 +73,34 @@
 // Gateway are the settings of moorspool-gateway.
 type Gateway struct {
 	Common `yaml:",inline"`
-	// Clients is where clients' requests come in.
+	// Clients is the address that clients send requests to.
 	Clients      string `yaml:"clients"`
 	ControlNodes []Peer `yaml:"controlNodes"`
-	// BalancerLag is how long the balancer may still send after /readyz fails.
+	// BalancerLag is how long the load balancer may still send requests after /readyz fails.
 	BalancerLag config.Duration `yaml:"balancerLag"`
-	// DrainLimit bounds a planned stop; requests still running then are cut off.
+	// DrainLimit bounds a planned stop; requests that still run are then aborted.
 	DrainLimit config.Duration `yaml:"drainLimit"`
-	// ConfigWait is how long a start waits for the newest configuration.
+	// ConfigWait is how long the gateway waits at startup for the newest configuration.
 	ConfigWait config.Duration `yaml:"configWait"`
-	// Routing is cost; the other modes are baselines to measure against.
+	// Routing is cost in production; the other modes are baselines for measurements.
 	Routing route.Mode `yaml:"routing"`
 	Limits  Limits     `yaml:"limits"`
 }
 
-// Limits bound what one gateway takes on.
+// Limits bound the requests of one gateway.
 type Limits struct {
 	Body config.Bytes `yaml:"body"`
-	// Queue is how many requests may wait for one model.
+	// Queue is the number of requests that may wait for one model.
 	Queue int `yaml:"queue"`
-	// QueueWait is the longest wait for a place.
+	// QueueWait is the longest time in the queue.
 	QueueWait config.Duration `yaml:"queueWait"`
-	// RetryShare is the part of successful requests that retries may add.
+	// RetryShare is the largest ratio of retries to successful requests.
 	RetryShare float64 `yaml:"retryShare"`
-	// Attempts is how often one request is tried in all.
+	// Attempts is the largest number of attempts of one request.
 	Attempts int `yaml:"attempts"`
-	// HeaderWait is the longest wait for a backend server's first byte.
+	// HeaderWait is the longest wait for the first byte of a backend server's response.
 	HeaderWait config.Duration `yaml:"headerWait"`
-	// TokenWait is the longest silence inside a stream.
+	// TokenWait is the longest pause within a stream.
 	TokenWait config.Duration `yaml:"tokenWait"`
 }
 
@@ -108,9 +108,10 @@
 type ControlNode struct {
 	Common `yaml:",inline"`
 	Folder string `yaml:"folder"`
-	// Control nodes lists all control nodes, this one included.
+	// ControlNodes lists all control nodes, including this one.
 	ControlNodes []Peer `yaml:"controlNodes"`
-	// DiskCheck is how long a start waits for the others to say what this disk held.
+	// DiskCheck is how long the node waits at startup for the other control nodes to tell what this
+	// node's disk should hold.
 	DiskCheck config.Duration `yaml:"diskCheck"`
 }
 
@@ -120,11 +121,11 @@
 	ControlNodes []Peer          `yaml:"controlNodes"`
 	Platform     string          `yaml:"platform"`
 	ConfigWait   config.Duration `yaml:"configWait"`
-	// StoreShare is this availability zone's part of the weight store's limits.
+	// StoreShare is the part of the weight store's limits that this availability zone may use.
 	StoreShare float64 `yaml:"storeShare"`
 }
 
-// The defaults of settings that need not be written.
+// The defaults of optional settings.
 const (
 	DefaultEvents      = 4096
 	DefaultBalancerLag = 2 * time.Second
@@ -141,11 +142,11 @@
 	DefaultStoreShare  = 1.0 / 3
 )
 
-// Usage is printed by --help above the options.
+// Usage is the usage line that --help prints above the options.
 const Usage = "-c FILE [--check]"
 
-// Parse reads a server's command line. It prints and exits for --help, and
-// returns an error that says what to do for bad options.
+// Parse parses a server's command line. For --help it prints the help and exits; its errors say
+// what to do.
 func Parse(name string, arguments []string) (Flags, error) {
 	var options Flags
 	p := flags.NewParser(&options, flags.HelpFlag|flags.PassDoubleDash)
@@ -165,7 +166,7 @@
 	return options, nil
 }
 
-// LoadGateway reads and checks a gateway's settings; its error is config.Findings for bad ones.
+// LoadGateway reads and checks a gateway's settings; invalid settings give a config.Findings error.
 func LoadGateway(file string) (Gateway, error) {
 	s := Gateway{
 		Common:      defaultCommon(),
@@ -199,7 +200,8 @@
 	})
 }
 
-// LoadControlNode reads and checks a control node's settings; its error is config.Findings for bad ones.
+// LoadControlNode reads and checks a control node's settings; invalid settings give a
+// config.Findings error.
 func LoadControlNode(file string) (ControlNode, error) {
 	s := ControlNode{Common: defaultCommon(), DiskCheck: config.Duration(DefaultDiskCheck)}
 	return s, load(file, &s, func(c *checks) {
@@ -218,7 +220,7 @@
 	})
 }
 
-// LoadPlanner reads and checks a planner's settings; its error is config.Findings for bad ones.
+// LoadPlanner reads and checks a planner's settings; invalid settings give a config.Findings error.
 func LoadPlanner(file string) (Planner, error) {
 	s := Planner{
 		Common:     defaultCommon(),
@@ -239,7 +241,7 @@
 	return Common{Events: DefaultEvents, Log: LogSetting{Level: "info"}, Trace: Trace{Share: 1}}
 }
 
-// load decodes a file strictly, then checks it; findings of both kinds carry their place.
+// load decodes a file strictly, then checks it; all findings carry their position in the file.
 func load(file string, into any, check func(*checks)) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -262,12 +264,14 @@
 	return c.findings.Err()
 }
 
+// checks collects findings on a settings file.
 type checks struct {
 	file     string
 	root     ast.Node
 	findings config.Findings
 }
 
+// add records a finding on the setting at a path.
 func (c *checks) add(path, message string) {
 	place := config.NewPlace(c.file, c.root)
 	c.findings = append(c.findings, place.At(path, path+" "+message))
@@ -318,7 +322,7 @@
 		path := fmt.Sprintf("controlNodes[%d]", i)
 		c.address(path+".address", controlNode.Address)
 		if controlNode.Name == "" || seen[controlNode.Name] {
-			c.add(path+".name", "must be there and differ from the others")
+			c.add(path+".name", "must not be empty and must be unique")
 		}
 		seen[controlNode.Name] = true
 	}
--- a/src/option/option_test.go
+++ b/src/option/option_test.go
@@ -18,7 +18,7 @@
 	return file
 }
 
-const sound = `cluster: c
+const validGateway = `cluster: c
 node: e1
 zone: a
 control: 127.0.0.1:1
@@ -27,27 +27,27 @@
 controlNodes: [{name: k1, address: "127.0.0.1:4", zone: a}]
 `
 
-func TestDefaultsFillWhatIsNotWritten(t *testing.T) {
+func TestDefaultsOfOptionalSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := LoadGateway(write(t, sound))
+	s, err := LoadGateway(write(t, validGateway))
 	is.NoErr(err)
 	is.Equal(s.Limits.Attempts, DefaultAttempts)
 	is.Equal(s.BalancerLag.Std(), DefaultBalancerLag)
 }
 
-func TestWrongSettingsAreReportedTogetherWithTheirPlaces(t *testing.T) {
-	text := strings.Replace(sound, "127.0.0.1:1", "localhost:1", 1) + "limits: {queue: 0, retryShare: 2}\nlog: {level: loud}\n"
+func TestInvalidSettingsAreReportedTogetherWithTheirPositions(t *testing.T) {
+	text := strings.Replace(validGateway, "127.0.0.1:1", "localhost:1", 1) + "limits: {queue: 0, retryShare: 2}\nlog: {level: loud}\n"
 	_, err := LoadGateway(write(t, text))
 	if err == nil {
-		t.Fatal("wrong settings were taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, want := range []string{"s.yaml:4:10: control is", "s.yaml:8:17: limits.queue must", "limits.retryShare must be between", "s.yaml:9:14: log.level must"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no finding has %q in:\n%s", want, err)
+			t.Errorf("no finding contains %q in:\n%s", want, err)
 		}
 	}
-	_, err = LoadGateway(write(t, sound+"colour: red\n"))
+	_, err = LoadGateway(write(t, validGateway+"colour: red\n"))
 	if err == nil || !strings.Contains(err.Error(), `s.yaml:8:1: unknown field "colour"`) {
-		t.Errorf("an unknown key: %v", err)
+		t.Errorf("an unknown key: got error %v", err)
 	}
 }
--- a/src/process/admin.go
+++ b/src/process/admin.go
@@ -16,24 +16,25 @@
 	"github.com/moorspool/moorspool/src/rpc"
 )
 
-// PathAdmin is where the control protocol's methods are reached over HTTP: POST
-// the parameters as JSON to PathAdmin + method.
+// PathAdmin is the path prefix of the control protocol over HTTP: a method's JSON parameters are
+// sent by POST to PathAdmin + method.
 const PathAdmin = "/admin/v1/"
 
-// maxAdminBody bounds an administration request.
-const maxAdminBody = 32 << 20
+// maxAdminBodyBytes bounds a request body of the administration API.
+const maxAdminBodyBytes = 32 << 20
 
-// stopWait is how long a listener may take to end.
-const stopWait = 200 * time.Millisecond
+// stopTimeout is how long a listener may take to shut down.
+const stopTimeout = 200 * time.Millisecond
 
+// admin is the server of the administration API.
 type admin struct {
 	hertz *server.Hertz
 }
 
-// NewServer returns a hertz server on a listener, with the settings that all of
-// moorspool's HTTP listeners share. The library's detection of clients that have
-// gone stays off: when an answer can't be written it still reads from the
-// connection whose buffers it has given away. A gone client shows at the next write.
+// NewServer returns a hertz server on a listener, with the settings of all of moorspool's HTTP
+// listeners. Hertz's detection of disconnected clients stays off: after a failed write it still
+// reads from the connection, whose buffers it has already released. A disconnected client is
+// noticed at the next write.
 func NewServer(ln net.Listener, maxBody int) *server.Hertz {
 	hlog.SetOutput(io.Discard)
 	h := server.New(
@@ -43,22 +44,24 @@
 		server.WithDisablePrintRoute(true),
 		server.WithReadTimeout(time.Minute),
 		server.WithIdleTimeout(time.Minute),
-		server.WithExitWaitTime(stopWait),
+		server.WithExitWaitTime(stopTimeout),
 	)
 	return h
 }
 
+// serveAdmin starts the administration API: health checks, metrics and the control protocol's
+// methods.
 func serveAdmin(address string, p *Process) (*admin, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	h := NewServer(ln, maxAdminBody)
+	h := NewServer(ln, maxAdminBodyBytes)
 	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.String(consts.StatusOK, "ok\n") })
 	h.GET("/readyz", p.answerReady)
 	metrics := p.metrics.Handler()
 	h.GET("/metrics", func(_ context.Context, c *app.RequestContext) {
-		p.gauges()
+		p.updateGauges()
 		c.SetContentType("text/plain; version=0.0.4; charset=utf-8")
 		c.Response.SetBodyRaw(metrics())
 	})
@@ -67,8 +70,8 @@
 	return &admin{hertz: h}, nil
 }
 
-// gauges brings the metrics of control up to date.
-func (p *Process) gauges() {
+// updateGauges updates the gauges of the control protocol and of the process's resources.
+func (p *Process) updateGauges() {
 	cost := p.cost()
 	p.metrics.Gauge("control_bytes_in", float64(cost.BytesIn))
 	p.metrics.Gauge("control_bytes_out", float64(cost.BytesOut))
@@ -102,18 +105,19 @@
 		if rpc.IsUnknownMethod(err) {
 			status = consts.StatusNotFound
 		}
-		c.JSON(status, failure{Error: err.Error()})
+		c.JSON(status, errorBody{Error: err.Error()})
 		return
 	}
 	c.JSON(http.StatusOK, result)
 }
 
-type failure struct {
+// errorBody is the response body of a failed method.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
 func (a *admin) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWait)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = a.hertz.Shutdown(ctx)
 }
--- a/src/process/doc.go
+++ b/src/process/doc.go
@@ -1,3 +1,3 @@
-// Package process is what every server of moorspool has in common: logger,
-// events, control protocol, administration API, health, metrics and an orderly stop.
+// Package process implements what all of moorspool's servers share: logging, events, the control
+// protocol, the administration API, health checks, metrics and an orderly shutdown.
 package process
--- a/src/process/main.go
+++ b/src/process/main.go
@@ -7,13 +7,13 @@
 	"github.com/moorspool/moorspool/src/option"
 )
 
-// Program is a server's binary.
+// Program describes a server's binary.
 type Program struct {
 	// Name is the binary's name.
 	Name string
-	// Load reads the settings and returns the server's life, or findings.
+	// Load reads and checks the settings and returns the function that runs the server.
 	Load func(flags option.Flags) (run func() error, err error)
-	// Words runs a command given instead of settings; nil if there is none.
+	// Words runs a subcommand, given in place of settings; nil if the binary has none.
 	Words func(words []string) error
 }
 
@@ -49,7 +49,7 @@
 		return err
 	}
 	if flags.Check {
-		fmt.Println(flags.Settings, "is sound")
+		fmt.Println(flags.Settings, "is valid")
 		return nil
 	}
 	return run()
--- a/src/process/process.go
+++ b/src/process/process.go
@@ -21,17 +21,17 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// gcPercent keeps the heap small: a process has 32 MB for control, and little
-// of its time goes to allocation.
+// gcPercent keeps the heap small: a process has 32 MB for control and spends little of its time on
+// allocation.
 const gcPercent = 40
 
-// logWait is how long a stopping process waits for its last log lines.
-const logWait = 200 * time.Millisecond
+// logFlushTimeout is how long a stopping process waits for its last log lines to be written.
+const logFlushTimeout = 200 * time.Millisecond
 
-// maxEventWait bounds how long a caller may wait for events.
+// maxEventWait bounds how long a request waits for events.
 const maxEventWait = 20 * time.Second
 
-// Process is a running server's common part; it is safe for concurrent use.
+// Process is the common part of a running server; it is safe for concurrent use.
 type Process struct {
 	role     string
 	settings option.Common
@@ -47,11 +47,11 @@
 	leaving  atomic.Bool
 	status   func(*wire.Status)
 	writer   *event.Writer
-	// refresh brings the role's own gauges up to date.
+	// refresh updates the role's own gauges.
 	refresh func(*metric.Registry)
 }
 
-// New returns the common part of a server; status fills in the role's own part.
+// New returns the common part of a server; status fills in the role's own part of a status reply.
 func New(role string, settings option.Common, status func(*wire.Status)) (*Process, error) {
 	writer := event.NewWriter(os.Stdout)
 	logger := event.NewLogger(writer, settings.Node)
@@ -82,33 +82,33 @@
 	return p, nil
 }
 
-// Ring returns the process's events.
+// Ring returns the process's event ring.
 func (p *Process) Ring() *event.Ring { return p.ring }
 
-// Meter returns what the process spends on control.
+// Meter returns the traffic counters of the control protocol.
 func (p *Process) Meter() *rpc.Meter { return p.meter }
 
 // Metrics returns the process's metrics.
 func (p *Process) Metrics() *metric.Registry { return p.metrics }
 
-// SetRefresh sets what brings the role's own gauges up to date before they are read; it is
-// called before Serve.
+// SetRefresh sets the function that updates the role's own gauges before metrics are read; it must
+// be called before Serve.
 func (p *Process) SetRefresh(refresh func(*metric.Registry)) { p.refresh = refresh }
 
-// Mux returns the control protocol's methods.
+// Mux returns the methods of the control protocol.
 func (p *Process) Mux() *rpc.Mux { return p.mux }
 
-// Cut returns the cut that tests may switch, nil in production.
+// Cut returns the simulated network cut that tests control, nil in production.
 func (p *Process) Cut() *fault.Cut { return p.cut }
 
-// SetReady says whether the process wants work.
+// SetReady sets whether the process accepts work.
 func (p *Process) SetReady(ready bool) {
 	if p.ready.Swap(ready) != ready && ready {
 		p.ring.Add(event.Event{Kind: event.ProcessReady})
 	}
 }
 
-// SetLeaving says that the process is stopping; it wants no new work.
+// SetLeaving marks the process as stopping; it accepts no new work.
 func (p *Process) SetLeaving() {
 	p.leaving.Store(true)
 	p.ready.Store(false)
@@ -133,23 +133,23 @@
 	return nil
 }
 
-// Close ends both listeners.
+// Close stops both listeners and writes the last log lines.
 func (p *Process) Close() {
 	p.ring.Add(event.Event{Kind: event.ProcessStopped})
 	p.server.Close()
 	p.admin.close()
-	p.writer.Close(logWait)
+	p.writer.Close(logFlushTimeout)
 }
 
-// CloseLog writes the last log lines of a process that never served.
-func (p *Process) CloseLog() { p.writer.Close(logWait) }
+// CloseLog writes the last log lines of a process that failed before Serve.
+func (p *Process) CloseLog() { p.writer.Close(logFlushTimeout) }
 
-// UntilSignal returns a context that ends with SIGTERM or SIGINT.
+// UntilSignal returns a context that is canceled by SIGTERM or SIGINT.
 func UntilSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// Heartbeat returns what the control nodes are told of this process.
+// Heartbeat returns the process's heartbeat for the control nodes.
 func (p *Process) Heartbeat(revision config.Revision) wire.Heartbeat {
 	return wire.Heartbeat{
 		Node:     p.settings.Node,
@@ -162,6 +162,7 @@
 	}
 }
 
+// setCut changes the simulated network cut.
 func (p *Process) setCut(_ context.Context, _ *rpc.Peer, request wire.CutRequest) (wire.Empty, error) {
 	p.cut.Set(request.Prefixes)
 	p.ring.Add(event.Event{Kind: event.FaultSwitched, Reason: "cut"})
@@ -183,6 +184,7 @@
 	return status, nil
 }
 
+// answerEvents returns the requested events; if there are none, it waits for one.
 func (p *Process) answerEvents(ctx context.Context, _ *rpc.Peer, request wire.EventsRequest) (wire.EventsReply, error) {
 	after := request.After
 	if request.Newest {
@@ -206,6 +208,7 @@
 	}
 }
 
+// cost returns the resources that the process has used.
 func (p *Process) cost() wire.ControlCost {
 	usage := readUsage()
 	return wire.ControlCost{
--- a/src/process/usage.go
+++ b/src/process/usage.go
@@ -11,13 +11,14 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
-// usage is what the operating system says that this process takes.
+// usage is the process's resource usage as reported by the operating system.
 type usage struct {
 	cpu       time.Duration
 	resident  config.Bytes
 	anonymous config.Bytes
 }
 
+// readUsage returns the current usage; values that can't be read are 0.
 func readUsage() usage {
 	var u usage
 	var times syscall.Rusage
@@ -42,6 +43,7 @@
 	return u
 }
 
+// kibibytes parses a value of /proc/self/status such as "1024 kB".
 func kibibytes(value string) config.Bytes {
 	digits := strings.TrimSuffix(strings.TrimSpace(value), " kB")
 	amount, err := strconv.ParseInt(digits, 10, 64)
