--- a/src/event/doc.go
+++ b/src/event/doc.go
@@ -1,3 +1,3 @@
-// Package event holds the numbered events that record every decision, and the
-// bounded ring that keeps the latest of them in each process.
+// Package event defines the numbered events that record each decision, and the ring buffer that
+// keeps the latest ones of a process.
 package event
--- a/src/event/kind.go
+++ b/src/event/kind.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind is an event's number; numbers are never reused.
+// Kind is the number of a kind of event; numbers are never reused.
 type Kind uint16
 
 // The kinds of event, grouped by the part that emits them.
@@ -82,99 +82,99 @@
 	FaultSwitched    Kind = 900
 )
 
-// Entry is a kind's line in the catalogue.
+// Entry describes a kind in the catalogue.
 type Entry struct {
 	kind    Kind
 	name    string
 	meaning string
 }
 
-// Kind returns the event's number.
+// Kind returns the kind's number.
 func (e Entry) Kind() Kind { return e.kind }
 
-// Name returns the event's short name.
+// Name returns the kind's short name.
 func (e Entry) Name() string { return e.name }
 
-// Meaning returns one sentence for the catalogue.
+// Meaning returns the kind's description in one sentence.
 func (e Entry) Meaning() string { return e.meaning }
 
 var catalogue = []Entry{
-	{ProcessStarted, "process-started", "A process has read its settings and begins to run."},
-	{ProcessReady, "process-ready", "A process accepts work from now on."},
-	{ProcessDraining, "process-draining", "A process was told to stop and takes no new connections after the balancer's lag."},
+	{ProcessStarted, "process-started", "A process has read its settings and starts to run."},
+	{ProcessReady, "process-ready", "A process is ready and accepts work."},
+	{ProcessDraining, "process-draining", "A process is stopping; it accepts no new connections once the load balancer has had time to notice."},
 	{ProcessStopped, "process-stopped", "A process finished its last request and exits."},
-	{ProcessDegraded, "process-degraded", "A process started without the newest configuration, because no control node or peer answered in time."},
+	{ProcessDegraded, "process-degraded", "A process started without the newest configuration, because no control node or other process responded in time."},
 	{SettingsReloaded, "settings-reloaded", "A process read its settings again."},
-	{LinesLeftOut, "log-lines-left-out", "Log lines were left out because the output did not take them, or a kind had too many in a second."},
-	{ConfigAccepted, "config-accepted", "The control nodes accepted a change of configuration."},
-	{ConfigRefused, "config-refused", "A change of configuration had findings and was refused whole."},
-	{ConfigConflict, "config-conflict", "A change was based on a revision older than an object it touches."},
-	{ConfigInForce, "config-in-force", "A process now acts on a newer revision; the control node that gave it is named."},
-	{ConfigUncertain, "config-uncertain", "Whether a change of configuration was accepted is not known; the operator sends it again."},
-	{ConfigUnusable, "config-unusable", "A gateway was given a newer configuration that it can't read; the one before stays in force and the newer one is fetched again."},
-	{ConfigBorrowed, "config-borrowed", "A control node passes on a configuration that another one has applied and it lacks itself."},
-	{ZoneOrdered, "zone-ordered", "An operator's order to drain an availability zone, or to end that, was acknowledged: a majority of the control nodes keeps it."},
-	{ZoneOrderRefused, "zone-order-refused", "An order about an availability zone was not acknowledged; the reason is given, and whether it may be carried out all the same."},
-	{ZonesDrained, "zones-drained", "A process acts on newer orders about availability zones from now on; the drained ones are named."},
+	{LinesLeftOut, "log-lines-left-out", "Log lines were dropped, because the output blocked or there were too many of a kind in a second."},
+	{ConfigAccepted, "config-accepted", "The control nodes accepted a configuration change."},
+	{ConfigRefused, "config-refused", "A configuration change was invalid and was refused as a whole."},
+	{ConfigConflict, "config-conflict", "A configuration change was based on an older revision of an object that it changes."},
+	{ConfigInForce, "config-in-force", "A process uses a newer configuration; the control node that sent it is given."},
+	{ConfigUncertain, "config-uncertain", "It is unknown whether a configuration change was accepted; the operator must send it again."},
+	{ConfigUnusable, "config-unusable", "A gateway received a newer configuration that it can't decode; it keeps the previous one and fetches the newer one again."},
+	{ConfigBorrowed, "config-borrowed", "A control node forwards a configuration that another control node has applied but it has not."},
+	{ZoneOrdered, "zone-ordered", "An operator's order to drain an availability zone, or to end the drain, was acknowledged: a majority of the control nodes has stored it."},
+	{ZoneOrderRefused, "zone-order-refused", "An order about an availability zone was not acknowledged; the reason is given, and whether it may still take effect."},
+	{ZonesDrained, "zones-drained", "A process uses a newer set of drained availability zones; they are listed."},
 	{LeaderElected, "leader-elected", "A control node became leader of a term."},
-	{LeaderLost, "leader-lost", "A control node stopped being leader, or lost sight of one."},
+	{LeaderLost, "leader-lost", "A control node stopped being the leader, or lost contact with the leader."},
 	{VoterChanged, "voter-changed", "The set of voting control nodes or learners changed."},
-	{SnapshotSaved, "snapshot-saved", "A control node saved a snapshot and cut its log."},
-	{SnapshotReceived, "snapshot-received", "A control node took over its state from the leader's snapshot."},
+	{SnapshotSaved, "snapshot-saved", "A control node saved a snapshot and truncated its log."},
+	{SnapshotReceived, "snapshot-received", "A control node replaced its state with the leader's snapshot."},
 	{StorageFailed, "storage-failed", "A control node could not make its state durable and stops."},
-	{QuorumChanged, "quorum-changed", "The number of voters that the leader hears, or of voters or learners, changed."},
-	{JoinAsked, "join-asked", "A control node that knows no leader asked the others to be let in; what became of it changed."},
-	{LeaderSeen, "leader-seen", "A control node follows another leader or none, or a new term began; what it has applied is given."},
-	{AgreementDelayed, "agreement-delayed", "A message or a question waited long for the control node's agreement, or one turn of it took long."},
-	{DiskSlow, "disk-slow", "A control node's writes to its data folder take long; what needs no disk goes on."},
+	{QuorumChanged, "quorum-changed", "The number of voters, of learners, or of voters that the leader is in contact with changed."},
+	{JoinAsked, "join-asked", "A control node that knows no leader asks the others to join, and the result of that changed."},
+	{LeaderSeen, "leader-seen", "A control node follows another leader or none, or a new term began; the applied configuration and the committed entry are given."},
+	{AgreementDelayed, "agreement-delayed", "A message or request waited long for the control node's consensus loop, or one iteration of that loop took long."},
+	{DiskSlow, "disk-slow", "A control node's writes to its data folder take long; work that needs no disk continues."},
 	{DiskRecovered, "disk-recovered", "A control node's writes are no longer slow."},
 	{AuthorityGranted, "authority-granted", "A planner holds an availability zone's authority at an epoch."},
-	{AuthorityRefused, "authority-refused", "Another planner's lease on the availability zone may still run."},
-	{AuthorityLost, "authority-lost", "A planner's lease ran out or a newer epoch was seen."},
-	{ClaimGranted, "claim-granted", "A key of a not-to-be-repeated call was claimed for one run."},
-	{ClaimRefused, "claim-refused", "The key was claimed before; the call is not run again."},
+	{AuthorityRefused, "authority-refused", "A planner was refused an availability zone's authority, because another planner's lease may still be valid."},
+	{AuthorityLost, "authority-lost", "A planner lost its authority: its lease expired, or there is a newer epoch."},
+	{ClaimGranted, "claim-granted", "The key of a call that must run at most once was claimed."},
+	{ClaimRefused, "claim-refused", "The key of a call that must run at most once was claimed before; the call is not run again."},
 	{OrderSent, "order-sent", "A planner sent a fenced order to an engine."},
-	{OrderInDoubt, "order-in-doubt", "An order got no answer; its memory stays counted."},
-	{OrderSettled, "order-settled", "An engine's report proved what became of an order."},
+	{OrderInDoubt, "order-in-doubt", "An order got no response; the memory that it may use stays reserved."},
+	{OrderSettled, "order-settled", "An engine's report settled the outcome of an order."},
 	{OrderRefused, "order-refused", "An engine refused an order."},
 	{ModelReady, "model-ready", "A copy of a model or adapter is ready to serve."},
 	{ModelUnplaced, "model-unplaced", "No accelerator has room for a model that needs a copy."},
 	{CopyPlanned, "copy-planned", "The planner decided to load a copy."},
 	{CopyDropped, "copy-dropped", "The planner decided to unload a copy."},
-	{HostLive, "host-live", "A host takes new work."},
-	{HostSuspect, "host-suspect", "A host stopped answering and gets work only as a last resort."},
+	{HostLive, "host-live", "A host accepts new work."},
+	{HostSuspect, "host-suspect", "A host stopped responding and gets work only as a last resort."},
 	{HostLeaving, "host-leaving", "A host is leaving and gets no new work."},
-	{HostGone, "host-gone", "A host left the platform's list and answers no more."},
-	{ReplicaChanged, "replica-changed", "What a replica says of itself, or whether it is heard, changed."},
-	{ReplicasFound, "replicas-found", "Replicas that were not known are known now, and how many there are in all."},
-	{CallRefused, "replica-call-refused", "A call in a replica's name was refused, with the place of what is wrong in it; what is known of the replica stays as it was."},
-	{BackoffAsked, "backoff-asked", "A backend server turned this gateway away and asked it to send nothing for a time; the time is given."},
-	{BackoffOver, "backoff-over", "A backend server that had asked this gateway to send nothing takes requests again."},
-	{LeavingTold, "leaving-told", "A backend server said in an answer that it leaves; this gateway sends it nothing new."},
-	{LimitTold, "limit-told", "A backend server named a limit of requests from all gateways together, changed it or takes all again; the values and their age are given."},
-	{WordUnknown, "word-unknown", "A backend server says something in an answer or a call that the product does not know; each name is told once."},
-	{ControlFound, "control-found", "A control node is in reach and its news arrive."},
-	{ControlLost, "control-lost", "A control node is out of reach; its last word counts for a while."},
-	{NewsNotSent, "news-not-sent", "What the followers should be told could not be encoded; they keep to what they know."},
+	{HostGone, "host-gone", "A host is no longer in the platform's list and does not respond."},
+	{ReplicaChanged, "replica-changed", "A replica's record changed, or its heartbeats stopped or resumed."},
+	{ReplicasFound, "replicas-found", "New replicas are known; the total number is given."},
+	{CallRefused, "replica-call-refused", "A malformed heartbeat in a replica's name was refused; the invalid field is given, and the replica's record is unchanged."},
+	{BackoffAsked, "backoff-asked", "A backend server refused a request and asked this gateway to send nothing for a time; the time is given."},
+	{BackoffOver, "backoff-over", "A backend server that had asked this gateway to send nothing accepts requests again."},
+	{LeavingTold, "leaving-told", "A backend server announced its shutdown in a response; this gateway sends it no new requests."},
+	{LimitTold, "limit-told", "A backend server set, changed or ended its rate limit for all gateways together; the values and their age are given."},
+	{WordUnknown, "word-unknown", "A response or heartbeat of a backend server contains an unknown header or field; each name is logged once."},
+	{ControlFound, "control-found", "A control node is reachable and its updates arrive."},
+	{ControlLost, "control-lost", "A control node is unreachable; its last update stays valid for a while."},
+	{NewsNotSent, "news-not-sent", "An update for the followers could not be encoded; they keep their previous state."},
 	{RequestRouted, "request-routed", "A request was sent to a backend server."},
-	{RequestRetried, "request-retried", "A request that did not run, or may be repeated, goes to another backend server."},
+	{RequestRetried, "request-retried", "A request that did not run, or may be repeated, is sent to another backend server."},
 	{RequestRefused, "request-refused", "A request was refused; the reason and whether it ran are given."},
-	{RequestResumed, "request-resumed", "A broken stream goes on from the last token passed on."},
-	{RequestFinished, "request-finished", "A client got its whole answer."},
-	{RequestLeft, "request-left", "The client closed its connection before the answer was whole."},
-	{HostEjected, "host-ejected", "A gateway avoids a backend server after failures in a row."},
-	{ReplicaEnded, "replica-ended", "A replica ended while requests were under way there; the witness and the digests of the requests' contents are given."},
-	{KeyRefused, "key-refused", "A request carried no key, or one that no client account holds."},
-	{QuotaSpent, "quota-spent", "A request was refused because its client account had nothing left of its limit."},
-	{AdmissionUnsure, "admission-unsure", "A request with a key was refused because nobody in reach could say whether its account had something left, or whether the configuration was still the newest."},
-	{TrustLost, "trust-lost", "A gateway has not known for too long that its configuration is the newest; it serves no request with a key."},
-	{TrustRegained, "trust-regained", "A gateway knows again that its configuration is the newest."},
-	{ContentHeld, "content-quarantined", "Requests with one content are refused, because backend servers ended while they ran such requests; the digest, the backend servers and the time are given."},
-	{ContentFreed, "content-freed", "Requests with a content are sent again: a run came to a good end, an operator lifted the quarantine, or its time is over."},
-	{FaultSwitched, "fault-switched", "A test switched a fault on or off; never seen in production."},
+	{RequestResumed, "request-resumed", "A broken stream is resumed after the last token that was forwarded."},
+	{RequestFinished, "request-finished", "A client got its complete response."},
+	{RequestLeft, "request-left", "The client closed its connection before the response was complete."},
+	{HostEjected, "host-ejected", "A gateway avoids a backend server after consecutive failures."},
+	{ReplicaEnded, "replica-ended", "A replica ended while it ran requests; the observation and the digests of the requests' contents are given."},
+	{KeyRefused, "key-refused", "A request had no API key, or one that belongs to no client account."},
+	{QuotaSpent, "quota-spent", "A request was refused because its client account had used up its limit."},
+	{AdmissionUnsure, "admission-unsure", "A request with an API key was refused because no reachable control node could confirm that its client account was within its limit, or that the configuration was still the newest."},
+	{TrustLost, "trust-lost", "A gateway could not confirm for too long that its configuration is the newest; it serves no requests with an API key."},
+	{TrustRegained, "trust-regained", "A gateway has confirmed again that its configuration is the newest."},
+	{ContentHeld, "content-quarantined", "Requests with a certain content are refused, because backend servers ended while they ran such requests; the digest, the backend servers and the time are given."},
+	{ContentFreed, "content-freed", "Requests with a quarantined content are accepted again: a run succeeded, an operator lifted the quarantine, or it expired."},
+	{FaultSwitched, "fault-switched", "A test switched a simulated fault on or off; this never happens in production."},
 }
 
-// Catalogue returns every kind in the order of its number.
+// Catalogue returns all kinds, ordered by number.
 func Catalogue() []Entry { return append([]Entry(nil), catalogue...) }
 
 // String returns the kind's short name.
--- a/src/event/kind_test.go
+++ b/src/event/kind_test.go
@@ -9,8 +9,8 @@
 
 const catalogueFile = "../../docs/EVENTS.md"
 
-// page returns docs/EVENTS.md as it has to be.
-func page() string {
+// eventsPage returns the expected text of docs/EVENTS.md.
+func eventsPage() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery decision is an event with a number. `moorspool watch` streams them, `moorspool\nexplain WORD` strings them together, and each is a log line with `event=NUMBER`.\nEvents of single requests are logged only at level debug. Numbers are never\nreused. Written by `make events` from `src/event/kind.go`.\n\n| number | name | meaning |\n|---|---|---|\n")
 	for _, e := range Catalogue() {
@@ -19,21 +19,22 @@
 	return b.String()
 }
 
-// TestCatalogue keeps the page equal to the kinds; UPDATE_EVENTS=1 writes it.
+// TestCatalogue checks that docs/EVENTS.md matches the catalogue and that numbers are unique.
+// UPDATE_EVENTS=1 writes the page.
 func TestCatalogue(t *testing.T) {
 	if os.Getenv("UPDATE_EVENTS") != "" {
-		if err := os.WriteFile(catalogueFile, []byte(page()), 0o644); err != nil {
+		if err := os.WriteFile(catalogueFile, []byte(eventsPage()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 	written, err := os.ReadFile(catalogueFile)
-	if err != nil || string(written) != page() {
-		t.Errorf("docs/EVENTS.md is not what make events writes (%v)", err)
+	if err != nil || string(written) != eventsPage() {
+		t.Errorf("docs/EVENTS.md differs from the output of make events (%v)", err)
 	}
 	seen := map[Kind]bool{}
 	for _, e := range Catalogue() {
 		if seen[e.Kind()] {
-			t.Errorf("number %d stands twice", e.Kind())
+			t.Errorf("number %d appears twice", e.Kind())
 		}
 		seen[e.Kind()] = true
 	}
--- a/src/event/ring.go
+++ b/src/event/ring.go
@@ -8,7 +8,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// Event is one decision as it was taken.
+// Event records one decision.
 type Event struct {
 	Seq      uint64    `json:"seq"`
 	At       time.Time `json:"at"`
@@ -24,7 +24,8 @@
 	Cause    uint64    `json:"cause,omitempty"`
 }
 
-// About reports whether the event concerns the request, model, host or zone named word.
+// About reports whether a word is the event's request, model, host, zone, name or node; the empty
+// word matches every event.
 func (e Event) About(word string) bool {
 	if word == "" {
 		return true
@@ -32,12 +33,13 @@
 	return e.Request == word || e.Model == word || e.Host == word || e.Zone == word || e.Name == word || e.Node == word
 }
 
-// quiet kinds happen per request; they are kept in the ring but logged only at debug level.
-func (k Kind) quiet() bool {
+// perRequest reports whether a kind occurs for each request; such events are logged only at debug
+// level.
+func (k Kind) perRequest() bool {
 	return k >= RequestRouted && k < HostEjected
 }
 
-// Ring keeps a process's latest events and logs each of them; it is safe for concurrent use.
+// Ring keeps the latest events of a process and logs each one; it is safe for concurrent use.
 type Ring struct {
 	mu     sync.Mutex
 	node   string
@@ -61,10 +63,11 @@
 	}
 }
 
-// SetWriter says which writer bounds the logger's lines.
+// SetWriter sets the writer that limits the rate of the logger's lines.
 func (r *Ring) SetWriter(w *Writer) { r.writer = w }
 
-// important kinds tell of failures; their lines are left out last.
+// important reports whether a kind indicates a failure, or a start or stop; its lines are dropped
+// last.
 func (k Kind) important() bool {
 	switch k {
 	case ReplicaEnded, ContentHeld, ContentFreed, RequestRefused, ConfigRefused, StorageFailed, ControlLost, LeaderLost, HostEjected, ProcessStarted, ProcessStopped:
@@ -83,7 +86,7 @@
 	})
 }
 
-// Add stamps the event with its number, time and process, keeps it and returns its number.
+// Add sets the event's number, time and process, stores and logs it, and returns the number.
 func (r *Ring) Add(e Event) uint64 {
 	if r == nil {
 		return 0
@@ -102,12 +105,13 @@
 	return e.Seq
 }
 
+// write logs an event.
 func (r *Ring) write(e Event) {
 	if r.logger == nil {
 		return
 	}
 	level := log.InfoLevel
-	if e.Kind.quiet() {
+	if e.Kind.perRequest() {
 		level = log.DebugLevel
 	}
 	if r.writer != nil && !r.writer.Admit(e.At, e.Kind, e.Kind.important()) {
@@ -130,8 +134,8 @@
 	return append(fields, key, value)
 }
 
-// Since returns the kept events numbered after seq that are about word, oldest
-// first, and a channel that is closed when another event is added.
+// Since returns the stored events after number seq that are about word, oldest first, and a channel
+// that is closed when the next event is added.
 func (r *Ring) Since(seq uint64, word string) ([]Event, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/src/event/writer.go
+++ b/src/event/writer.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// The bounds of the lines that wait to be written.
+// The limits of buffered log lines.
 const (
-	// maxLines is how many lines wait while the output does not take them.
+	// maxLines is the number of lines that are buffered while the output blocks.
 	maxLines = 2048
-	// flushEvery is how long lines are gathered, so that one write carries many.
-	flushEvery = 50 * time.Millisecond
-	// linesPerSecond bounds the ordinary lines of one kind.
+	// flushDelay is how long lines are collected for one write.
+	flushDelay = 50 * time.Millisecond
+	// linesPerSecond limits the ordinary lines of each kind.
 	linesPerSecond = 300
 )
 
-// line is one log line on its way out.
+// line is a buffered log line.
 type line struct {
 	text      []byte
 	important bool
 }
 
-// Writer writes log lines in the background, so that an output that is slow or
-// stands still delays nobody. When too many wait, the oldest ordinary line goes
-// first and important ones last; what was left out is counted and told.
+// Writer writes log lines in the background, so that a slow or blocked output delays no caller. If
+// the buffer is full, the oldest ordinary lines are dropped first, and important ones only if there
+// are no others; the number of dropped lines is logged.
 type Writer struct {
 	out io.Writer
 
@@ -35,21 +35,22 @@
 	wake    chan struct{}
 	closed  chan struct{}
 	done    chan struct{}
-	// next says how the line that is being written counts.
+	// important tells whether the next line is important; second and kinds count the lines of each
+	// kind in the current second.
 	important bool
 	second    int64
 	kinds     map[Kind]int
 }
 
-// NewWriter returns a writer and starts it.
+// NewWriter returns a writer and starts its goroutine.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), closed: make(chan struct{}), done: make(chan struct{}), kinds: map[Kind]int{}}
 	go w.run()
 	return w
 }
 
-// Admit reports whether a line of a kind may be written in this second, and
-// notes how the line that follows counts.
+// Admit reports whether a line of a kind may be written in this second, and sets the importance of
+// the line that follows.
 func (w *Writer) Admit(now time.Time, kind Kind, important bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,11 +67,11 @@
 	return true
 }
 
-// Write takes in one line; it never blocks.
+// Write buffers one line; it never blocks.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.lines) >= maxLines {
-		w.drop()
+		w.dropOne()
 	}
 	w.lines = append(w.lines, line{text: append([]byte(nil), p...), important: w.important})
 	w.mu.Unlock()
@@ -81,8 +82,8 @@
 	return len(p), nil
 }
 
-// drop leaves out the oldest ordinary line, or the oldest; the lock is held.
-func (w *Writer) drop() {
+// dropOne drops the oldest ordinary line, or else the oldest one; the lock is held.
+func (w *Writer) dropOne() {
 	w.dropped++
 	for i := range w.lines {
 		if !w.lines[i].important {
@@ -93,7 +94,7 @@
 	w.lines = w.lines[1:]
 }
 
-// Dropped returns the number of lines left out that were not told yet.
+// Dropped returns the number of dropped lines that were not logged yet.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,11 +110,12 @@
 			w.flush()
 			return
 		}
-		time.Sleep(flushEvery)
+		time.Sleep(flushDelay)
 		w.flush()
 	}
 }
 
+// flush writes the buffered lines and the number of dropped ones.
 func (w *Writer) flush() {
 	w.mu.Lock()
 	lines, dropped := w.lines, w.dropped
@@ -131,7 +133,7 @@
 	}
 }
 
-// Close writes what waits, for at most the given time.
+// Close writes the buffered lines; it waits at most for the given time.
 func (w *Writer) Close(limit time.Duration) {
 	close(w.closed)
 	select {
--- a/src/event/writer_test.go
+++ b/src/event/writer_test.go
@@ -12,32 +12,32 @@
 	"github.com/matryer/is"
 )
 
-// gate is an output that takes nothing until it is opened.
-type gate struct {
+// blockedOutput is an output that blocks until it is opened.
+type blockedOutput struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockedOutput) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(p)
 }
 
-func (g *gate) String() string {
+func (g *blockedOutput) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
-// TestABlockedOutputDelaysNobody: events are taken in while the output stands
-// still, far more than are kept; failures outlast ordinary lines, and what was left
-// out is told. If Add blocked, the test would never end.
+// TestABlockedOutputDelaysNobody adds far more events than are buffered while the output blocks. If
+// Add blocked, the test would not end. Lines of failures must outlast ordinary ones, and the number
+// of dropped lines must be logged.
 func TestABlockedOutputDelaysNobody(t *testing.T) {
 	is := is.New(t)
-	out := &gate{open: make(chan struct{})}
+	out := &blockedOutput{open: make(chan struct{})}
 	writer := NewWriter(out)
 	logger := NewLogger(writer, "n")
 	logger.SetLevel(log.DebugLevel)
@@ -46,7 +46,7 @@
 	ring.SetWriter(writer)
 	ring.Add(Event{Kind: RequestRefused, Request: "first"})
 	for i := range 3 * maxLines {
-		now = now.Add(5 * time.Millisecond) // 200 a second: below the bound of a kind
+		now = now.Add(5 * time.Millisecond) // 200 per second: below the limit of a kind
 		ring.Add(Event{Kind: RequestFinished, Request: fmt.Sprint("ordinary-", i)})
 	}
 	ring.Add(Event{Kind: RequestRefused, Request: "last"})
@@ -56,10 +56,10 @@
 	is.True(strings.Contains(text, "request=first"))
 	is.True(strings.Contains(text, "request=last"))
 	is.True(strings.Contains(text, "log-lines-left-out"))
-	is.True(strings.Count(text, "\n") <= 2*maxLines+2) // what was under way, what waited
+	is.True(strings.Count(text, "\n") <= 2*maxLines+2) // one write in progress and a full buffer
 }
 
-func TestAKindHasSoManyLinesASecond(t *testing.T) {
+func TestLinesOfAKindAreLimitedPerSecond(t *testing.T) {
 	is := is.New(t)
 	writer := NewWriter(&bytes.Buffer{})
 	now := time.Unix(1_800_000_000, 0)
--- a/src/fault/cut.go
+++ b/src/fault/cut.go
@@ -9,14 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// ErrCut is what a dial or read ends with when the address is cut off.
+// ErrCut is the error of a dial, read or write at an address that is cut off.
 var ErrCut = errors.New("timed out: the address is cut off by a test")
 
-// poll is how often a stalled read looks whether the cut has healed.
-const poll = 50 * time.Millisecond
+// pollInterval is how often a stalled read checks whether the cut has ended.
+const pollInterval = 50 * time.Millisecond
 
-// Cut is the set of addresses that a process can't reach now; nil is never cut.
-// A cut is silent, as a real one is: writes vanish and reads stall.
+// Cut is a simulated network cut: the set of addresses that a process can't reach. A nil Cut cuts
+// nothing off. As in a real cut, there are no errors: written bytes are lost and reads stall.
 type Cut struct {
 	prefixes atomic.Pointer[[]string]
 }
@@ -44,8 +44,8 @@
 	return false
 }
 
-// Dial opens a connection that the cut can silence; while cut off, it takes
-// the whole timeout to fail.
+// Dial opens a connection to which the cut applies. While the address is cut off, it fails after
+// the full timeout.
 func (c *Cut) Dial(network, address string, timeout time.Duration) (net.Conn, error) {
 	if c.Active(address) {
 		time.Sleep(timeout)
@@ -58,8 +58,8 @@
 	return &cutConn{Conn: conn, cut: c, address: address}, nil
 }
 
-// cutConn is a connection that goes silent while its address is cut off. Once
-// bytes were lost it can only fail, even after the cut has healed.
+// cutConn is a connection to which a cut applies. Once bytes were lost it only returns errors, even
+// after the cut has ended.
 type cutConn struct {
 	net.Conn
 	cut     *Cut
@@ -86,7 +86,7 @@
 	}
 	c.lost.Store(true)
 	for c.cut.Active(c.address) && !c.closed.Load() {
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 	return 0, ErrCut
 }
--- a/src/fault/dialer.go
+++ b/src/fault/dialer.go
@@ -9,7 +9,7 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// NewDialer returns hertz's standard dialer with connections that the cut can silence.
+// NewDialer returns hertz's standard dialer, whose connections the cut applies to.
 func (c *Cut) NewDialer() network.Dialer {
 	if c == nil {
 		return standard.NewDialer()
@@ -17,6 +17,7 @@
 	return &dialer{Dialer: standard.NewDialer(), cut: c}
 }
 
+// dialer is a hertz dialer to which a cut applies.
 type dialer struct {
 	network.Dialer
 	cut *Cut
@@ -44,7 +45,7 @@
 	lost    atomic.Bool
 }
 
-// SetReadTimeout remembers the timeout, so that a stalled read keeps to it.
+// SetReadTimeout sets the timeout, which also applies to a stalled read.
 func (c *cutHTTPConn) SetReadTimeout(t time.Duration) error {
 	c.timeout = t
 	return c.Conn.SetReadTimeout(t)
@@ -68,7 +69,7 @@
 	return n, err
 }
 
-// Flush sends what was written; while cut off the bytes vanish.
+// Flush sends the written bytes; while the address is cut off, they are lost.
 func (c *cutHTTPConn) Flush() error {
 	if c.cut.Active(c.address) {
 		c.lost.Store(true)
@@ -80,14 +81,16 @@
 	return c.Conn.Flush()
 }
 
+// stall waits while the address is cut off, at most for the read timeout. It returns ErrCut if
+// bytes were lost.
 func (c *cutHTTPConn) stall() error {
 	if !c.cut.Active(c.address) && !c.lost.Load() {
 		return nil
 	}
 	c.lost.Store(true)
-	ends := time.Now().Add(c.timeout)
-	for c.cut.Active(c.address) && (c.timeout == 0 || time.Now().Before(ends)) {
-		time.Sleep(poll)
+	deadline := time.Now().Add(c.timeout)
+	for c.cut.Active(c.address) && (c.timeout == 0 || time.Now().Before(deadline)) {
+		time.Sleep(pollInterval)
 	}
 	return ErrCut
 }
--- a/src/fault/doc.go
+++ b/src/fault/doc.go
@@ -1,3 +1,3 @@
-// Package fault lets tests and the demo cut a process off from some addresses
-// without touching the machine's network. It is off unless the settings allow it.
+// Package fault simulates network cuts between a process and some addresses, for tests and the
+// demo, without a change to the machine's network. It works only if the settings allow it.
 package fault
--- a/src/metric/doc.go
+++ b/src/metric/doc.go
@@ -1,3 +1,3 @@
-// Package metric names and collects a process's metrics and writes them in the
-// Prometheus text format; units are part of each name.
+// Package metric collects the metrics of a process and writes them in the Prometheus text format.
+// Metric names include the unit.
 package metric
--- a/src/metric/metric.go
+++ b/src/metric/metric.go
@@ -10,19 +10,19 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// flushEvery is how often tally hands its values to the reporter.
-const flushEvery = time.Second
+// flushInterval is how often tally passes its values to the Prometheus reporter.
+const flushInterval = time.Second
 
-// Registry is a process's metrics; it is safe for concurrent use.
+// Registry holds the metrics of a process; it is safe for concurrent use.
 type Registry struct {
 	scope    tally.Scope
 	gatherer promclient.Gatherer
 }
 
-// latencyBuckets cover a request's times from a millisecond to half a minute.
+// latencyBuckets range from a millisecond to half a minute.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.6, 23)
 
-// New returns the registry of a process of a role.
+// New returns the registry of a process with a role, which is part of the metrics' names.
 func New(role string) *Registry {
 	registry := promclient.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -31,27 +31,27 @@
 		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
-	}, flushEvery)
+	}, flushInterval)
 	return &Registry{scope: scope, gatherer: registry}
 }
 
-// Count returns a counter.
+// Count returns the counter with a name.
 func (r *Registry) Count(name string) tally.Counter { return r.scope.Counter(name) }
 
-// Gauge sets a gauge.
+// Gauge sets the gauge with a name.
 func (r *Registry) Gauge(name string, value float64) { r.scope.Gauge(name).Update(value) }
 
-// GaugeOf sets the gauge of one value of a label.
-func (r *Registry) GaugeOf(name, label, of string, value float64) {
-	r.scope.Tagged(map[string]string{label: of}).Gauge(name).Update(value)
+// GaugeOf sets the gauge with a name and one label.
+func (r *Registry) GaugeOf(name, label, labelValue string, value float64) {
+	r.scope.Tagged(map[string]string{label: labelValue}).Gauge(name).Update(value)
 }
 
-// CountOf returns the counter of one value of a label.
-func (r *Registry) CountOf(name, label, of string) tally.Counter {
-	return r.scope.Tagged(map[string]string{label: of}).Counter(name)
+// CountOf returns the counter with a name and one label.
+func (r *Registry) CountOf(name, label, labelValue string) tally.Counter {
+	return r.scope.Tagged(map[string]string{label: labelValue}).Counter(name)
 }
 
-// Latency returns a histogram of durations.
+// Latency returns the histogram of durations with a name.
 func (r *Registry) Latency(name string) tally.Histogram {
 	return r.scope.Histogram(name, latencyBuckets)
 }
--- a/src/service/client.go
+++ b/src/service/client.go
@@ -13,17 +13,18 @@
 	"github.com/moorspool/moorspool/src/fault"
 )
 
-// The calls' times and limits.
+// The timeouts and limits of calls.
 const (
 	dialTimeout  = 500 * time.Millisecond
 	writeTimeout = 2 * time.Second
 	maxConns     = 1024
 )
 
-// HeaderKey carries a once key, after the IETF draft "The Idempotency-Key HTTP Header Field".
+// HeaderKey is the header of a call's idempotency key, after the IETF draft "The Idempotency-Key
+// HTTP Header Field".
 const HeaderKey = "Idempotency-Key"
 
-// Call is a call on its way to a plain service.
+// Call is a call of a plain service.
 type Call struct {
 	Method      string
 	Path        string
@@ -31,12 +32,12 @@
 	Body        []byte
 	ID          string
 	Key         string
-	// Once forbids that the call is sent a second time by anybody.
+	// Once is set if the call must not be sent a second time.
 	Once  bool
 	Trace string
 }
 
-// Answer is a whole answer.
+// Answer is a complete response.
 type Answer struct {
 	Status      int
 	ContentType string
@@ -44,7 +45,7 @@
 	Load        engine.Load
 }
 
-// Failure says why there is no answer.
+// Failure is the error of a call without a response.
 type Failure struct {
 	// NotRun is true only if the call certainly did not run.
 	NotRun  bool
@@ -53,7 +54,7 @@
 	cause   error
 }
 
-// Error returns why.
+// Error returns the text of the cause.
 func (f *Failure) Error() string { return f.cause.Error() }
 
 // Unwrap returns the cause.
@@ -61,14 +62,14 @@
 
 // Client calls plain services; it is safe for concurrent use.
 type Client struct {
-	// pooled reuses connections; single opens one for each call that must not be
-	// repeated, because a reused one may have been closed by the other side,
-	// which looks the same as a call that was lost half way.
+	// pooled reuses connections. single opens a connection for each call that must not be repeated:
+	// the other side may have closed a reused one, which can't be distinguished from a call that
+	// was lost on the way.
 	pooled *dial.Client
 	single *dial.Client
 }
 
-// New returns a client; wait bounds each silence of a service.
+// New returns a client; wait bounds each read from a service.
 func New(cut *fault.Cut, wait time.Duration) (*Client, error) {
 	options := dial.Options{Dial: dialTimeout, Read: wait, Write: writeTimeout, Conns: maxConns, Reuse: true}
 	pooled, err := dial.New(cut, options)
@@ -83,17 +84,17 @@
 	return &Client{pooled: pooled, single: single}, nil
 }
 
-// Do sends a call to the service at an address; its error is always a Failure.
+// Do sends a call to the service at an address; its error is always a *Failure.
 func (c *Client) Do(ctx context.Context, address string, call Call) (Answer, error) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
 	defer protocol.ReleaseResponse(response)
-	fill(request, address, call)
+	fillRequest(request, address, call)
 	client := c.pooled
 	if call.Once {
 		client = c.single
-		// The library sends a call with a plain body again by itself when a
-		// connection fails early; it never does so with a streamed one.
+		// Hertz retries a call with a plain body if a connection fails early, but never one with a
+		// streamed body.
 		request.SetBodyStream(bytes.NewReader(call.Body), len(call.Body))
 	}
 	if err := client.Do(ctx, request, response); err != nil {
@@ -112,7 +113,8 @@
 	}, nil
 }
 
-func fill(request *protocol.Request, address string, call Call) {
+// fillRequest sets the fields of a request.
+func fillRequest(request *protocol.Request, address string, call Call) {
 	request.SetMethod(call.Method)
 	request.SetRequestURI("http://" + address + call.Path)
 	if call.ContentType != "" {
--- a/src/service/doc.go
+++ b/src/service/doc.go
@@ -1,3 +1,3 @@
-// Package service is the one place that speaks to plain services: whole HTTP
-// calls, of which some may not be repeated.
+// Package service is the HTTP client for plain services, whose calls are not streamed. Some calls
+// must not be sent twice.
 package service
--- a/src/trace/doc.go
+++ b/src/trace/doc.go
@@ -1,4 +1,3 @@
-// Package trace makes a span for each hop of a request and carries their
-// context in the W3C traceparent header. Without a file it only passes the
-// context on.
+// Package trace records a span for each hop of a request and propagates the trace context in the
+// W3C traceparent header. Without a trace file it only propagates the context.
 package trace
--- a/src/trace/trace.go
+++ b/src/trace/trace.go
@@ -19,14 +19,14 @@
 // Header is the W3C trace context header.
 const Header = "traceparent"
 
-// Tracer makes spans; it is safe for concurrent use.
+// Tracer creates spans; it is safe for concurrent use.
 type Tracer struct {
 	tracer   oteltrace.Tracer
 	provider *sdktrace.TracerProvider
 	file     *os.File
 }
 
-// New returns the tracer of a process; spans go to the settings' file, if any.
+// New returns the tracer of a process; spans are written to the file in the settings, if any.
 func New(node string, settings option.Trace) (*Tracer, error) {
 	if settings.File == "" {
 		return &Tracer{tracer: noop.NewTracerProvider().Tracer(node)}, nil
@@ -37,7 +37,7 @@
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		return nil, errors.Wrap(err, "making the trace exporter")
+		return nil, errors.Wrap(err, "creating the trace exporter")
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
@@ -47,7 +47,7 @@
 	return &Tracer{tracer: provider.Tracer("moorspool"), provider: provider, file: file}, nil
 }
 
-// Close writes the spans that are still held.
+// Close writes the buffered spans and closes the file.
 func (t *Tracer) Close(ctx context.Context) {
 	if t.provider == nil {
 		return
@@ -62,7 +62,7 @@
 	ctx  context.Context
 }
 
-// Extract returns a context that goes on from a traceparent header, if it has one.
+// Extract returns a context with the trace context of a traceparent header, "" for none.
 func Extract(ctx context.Context, header string) context.Context {
 	if header == "" {
 		return ctx
@@ -70,7 +70,7 @@
 	return propagation.TraceContext{}.Extract(ctx, propagation.MapCarrier{Header: header})
 }
 
-// Start begins a span; host and model may be "".
+// Start starts a span; model and host may be "".
 func (t *Tracer) Start(ctx context.Context, name, request, model, host string) Span {
 	ctx, span := t.tracer.Start(ctx, name)
 	if span.IsRecording() {
@@ -83,7 +83,7 @@
 	return Span{span: span, ctx: ctx}
 }
 
-// Context returns the context for the hops below.
+// Context returns the context for child spans.
 func (s Span) Context() context.Context { return s.ctx }
 
 // Traceparent returns the header for the next hop, "" if there is no trace.
