--- a/src/fleet/calls.go
+++ b/src/fleet/calls.go
@@ -19,7 +19,7 @@
 		OrderZone:        c.orderZone,
 		Hear:             c.publisher.Hear,
 		HeartbeatRefused: c.heartbeatRefused,
-		UnknownFields:    c.unknown.note,
+		UnknownFields:    c.unknown.record,
 		Remove:           c.publisher.Remove,
 	}
 }
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -342,8 +342,8 @@
 	}
 }
 
-// buildFollower creates the follower, which learns what every control node was told, this one
-// included, and the relay, which passes that on to gateways.
+// buildFollower creates the follower, which receives the updates of every control node, this one
+// included, and the relay, which forwards them to gateways.
 func (c *controlNode) buildFollower(cluster feed.Cluster) {
 	options := feed.Options{Node: c.settings.Node, Zone: c.settings.Zone, Seeds: c.settings.SeedPeers()}
 	sink := feed.Sink{
--- a/src/fleet/gateway.go
+++ b/src/fleet/gateway.go
@@ -130,7 +130,7 @@
 		Ring:    proc.Ring(),
 		Metrics: exchange.NewMetrics(proc.Metrics()),
 		Now:     time.Now,
-		Unknown: newUnknownNames(proc).note,
+		Unknown: newUnknownNames(proc).record,
 
 		RetainBytes: int64(retainShare * float64(settings.MemoryMB) * (1 << 20)),
 	})
@@ -195,7 +195,7 @@
 		Backlogs: g.fleet.SetBacklogs,
 		Limits:   g.fleet.SetLimits,
 
-		Quarantine: func(told []quarantine.Entry) { g.guard.Take(time.Now(), told) },
+		Quarantine: func(received []quarantine.Entry) { g.guard.Take(time.Now(), received) },
 	}
 	g.follower = feed.NewFollower(options, sink, g.proc.Meter(), nil, g.proc.Ring(), clock.Now)
 }
@@ -244,14 +244,14 @@
 	idle := true
 	for {
 		gateways, replicas := g.handler.Gateways(), g.fleet.Replicas()
-		var rest <-chan time.Time
+		var nextReport <-chan time.Time
 		if !idle {
-			rest = time.After(loadview.Interval(gateways, replicas))
+			nextReport = time.After(loadview.Interval(gateways, replicas))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-rest:
+		case <-nextReport:
 		case <-g.fleet.RequestSent():
 		}
 		report := wire.LoadReport{Node: g.settings.Node, Loads: g.fleet.Loads()}
--- a/src/fleet/permit.go
+++ b/src/fleet/permit.go
@@ -69,12 +69,12 @@
 func (p *permits) drainPending() []ratelimit.Told {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var told []ratelimit.Told
+	var limits []ratelimit.Told
 	for name, state := range p.pending {
-		told = append(told, ratelimit.Told{Server: name, State: state})
+		limits = append(limits, ratelimit.Told{Server: name, State: state})
 	}
 	clear(p.pending)
-	return told
+	return limits
 }
 
 // leaderLost records a request without a response from a leader; it reports whether that has lasted
@@ -174,45 +174,45 @@
 // shareLimits sends the limits of replicas to all gateways while this node leads: at once when one
 // changes, and at an interval for gateways that were not reached.
 func (c *controlNode) shareLimits(ctx context.Context) {
-	again := time.NewTimer(limitsInterval)
-	defer again.Stop()
+	timer := time.NewTimer(limitsInterval)
+	defer timer.Stop()
 	for {
 		pause := limitsInterval
 		select {
 		case <-ctx.Done():
 			return
-		case <-again.C:
+		case <-timer.C:
 		case <-c.permits.changed.Raised():
 			pause = limitsResendDelay
 		}
-		again.Reset(pause)
-		term, version, told := c.permits.issuer.Limits(clock.Now(), maxSharedLimits, limitEndShared)
-		c.placer.SetLimits(perSecond(told))
-		c.sendLimits(ctx, term, version, told)
+		timer.Reset(pause)
+		term, version, states := c.permits.issuer.Limits(clock.Now(), maxSharedLimits, limitEndShared)
+		c.placer.SetLimits(perSecond(states))
+		c.sendLimits(ctx, term, version, states)
 		c.sendLimits(ctx, 0, 0, c.permits.drainPending())
 		time.Sleep(c.sharePause(limitsBatchDelay))
 	}
 }
 
 // perSecond returns the limits in force, in requests per second by backend server.
-func perSecond(told []ratelimit.Told) map[string]float64 {
+func perSecond(states []ratelimit.Told) map[string]float64 {
 	limits := map[string]float64{}
-	for _, one := range told {
-		if one.State.Limited {
-			limits[one.Server] = one.State.PerSecond
+	for _, limit := range states {
+		if limit.State.Limited {
+			limits[limit.Server] = limit.State.PerSecond
 		}
 	}
 	return limits
 }
 
 // sendLimits sends limits to the gateways of all control nodes.
-func (c *controlNode) sendLimits(ctx context.Context, term, version uint64, told []ratelimit.Told) {
-	if len(told) == 0 {
+func (c *controlNode) sendLimits(ctx context.Context, term, version uint64, states []ratelimit.Told) {
+	if len(states) == 0 {
 		return
 	}
 	limits := wire.Limits{Term: term, Version: version}
-	for _, one := range told {
-		limits.Limits = append(limits.Limits, wire.ReplicaLimit{Replica: one.Server, Limited: one.State.Limited, PerSecond: one.State.PerSecond})
+	for _, limit := range states {
+		limits.Limits = append(limits.Limits, wire.ReplicaLimit{Replica: limit.Server, Limited: limit.State.Limited, PerSecond: limit.State.PerSecond})
 	}
 	for _, address := range c.cluster.Peers() {
 		go c.notify(ctx, address, wire.MethodLimits, limits)
--- a/src/fleet/quarantine.go
+++ b/src/fleet/quarantine.go
@@ -49,27 +49,27 @@
 // shareEnds reports the contents that this gateway saw crash replicas, and those that it saw
 // succeed, until a control node has accepted the report.
 func (g *gateway) shareEnds(ctx context.Context) {
-	var told uint64
-	again := time.NewTimer(reportInterval)
-	defer again.Stop()
+	var acknowledged uint64
+	timer := time.NewTimer(reportInterval)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.guard.Changed():
-		case <-again.C:
+		case <-timer.C:
 		}
 		pause := reportInterval
-		entries, stamp := g.guard.OwnSince(time.Now(), told)
+		entries, stamp := g.guard.OwnSince(time.Now(), acknowledged)
 		switch {
 		case len(entries) == 0:
 			g.repeatEnds(ctx)
 		case g.reportEnds(ctx, entries):
-			told = stamp
+			acknowledged = stamp
 		default:
 			pause = reportRetry
 		}
-		again.Reset(pause)
+		timer.Reset(pause)
 	}
 }
 
@@ -89,8 +89,8 @@
 }
 
 // handleQuarantine handles the entries of a gateway or another control node.
-func (c *controlNode) handleQuarantine(_ context.Context, _ *rpc.Peer, told wire.Quarantine) (wire.Empty, error) {
-	c.quarantine.Merge(time.Now(), told.Entries)
+func (c *controlNode) handleQuarantine(_ context.Context, _ *rpc.Peer, received wire.Quarantine) (wire.Empty, error) {
+	c.quarantine.Merge(time.Now(), received.Entries)
 	return wire.Empty{}, nil
 }
 
@@ -119,22 +119,22 @@
 
 // forwardQuarantine sends new entries to gateways and the other control nodes.
 func (c *controlNode) forwardQuarantine(ctx context.Context) {
-	var passed uint64
-	all := time.NewTicker(exchangeInterval)
-	defer all.Stop()
+	var forwarded uint64
+	fullSync := time.NewTicker(exchangeInterval)
+	defer fullSync.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-all.C:
+		case <-fullSync.C:
 			c.quarantine.Sweep(time.Now())
 			c.notifyRandomPeer(ctx)
 			continue
 		case <-c.quarantine.Changed():
 		}
 		now := time.Now()
-		entries, stamp := c.quarantine.Since(now, passed)
-		passed = stamp
+		entries, stamp := c.quarantine.Since(now, forwarded)
+		forwarded = stamp
 		for _, address := range c.cluster.Peers() {
 			go c.notify(ctx, address, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 		}
@@ -157,14 +157,14 @@
 // saveQuarantine saves what gateways are sent. It runs apart from the sending, since a disk may
 // hang.
 func (c *controlNode) saveQuarantine(ctx context.Context) {
-	again := time.NewTimer(time.Hour)
-	defer again.Stop()
+	retry := time.NewTimer(time.Hour)
+	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.toSave.Raised():
-		case <-again.C:
+		case <-retry.C:
 		}
 		known := c.sharedQuarantine.Load()
 		if known == nil || len(known.Entries) == 0 {
@@ -172,7 +172,7 @@
 		}
 		if err := c.quarantineFile.Save(known.Entries); err != nil {
 			c.proc.Ring().Add(event.Event{Kind: event.StorageFailed, Reason: "the quarantine was not saved: " + err.Error()})
-			again.Reset(storageRetry)
+			retry.Reset(storageRetry)
 		}
 	}
 }
--- a/src/fleet/unknown.go
+++ b/src/fleet/unknown.go
@@ -24,8 +24,8 @@
 	return &unknownNames{proc: proc, known: map[string]bool{}}
 }
 
-// note logs each name once and counts each occurrence; names beyond the bound are counted together.
-func (u *unknownNames) note(server string, names []string) {
+// record logs each name once and counts each occurrence; names beyond the bound are counted together.
+func (u *unknownNames) record(server string, names []string) {
 	for _, name := range names {
 		label, first := u.label(name)
 		u.proc.Metrics().CountOf("unknown_words_total", "name", label).Inc(1)
--- a/src/fleet/unknown_test.go
+++ b/src/fleet/unknown_test.go
@@ -11,17 +11,17 @@
 // share a label.
 func TestUnknownNamesAreBounded(t *testing.T) {
 	is := is.New(t)
-	words := newUnknownNames(nil)
+	names := newUnknownNames(nil)
 	for i := range maxUnknownNames {
 		name := fmt.Sprint("Server-Word-", i)
-		label, first := words.label(name)
+		label, first := names.label(name)
 		is.Equal(label, name)
 		is.True(first)
 	}
-	label, first := words.label("Server-Word-0")
+	label, first := names.label("Server-Word-0")
 	is.Equal(label, "Server-Word-0")
 	is.True(!first)
-	label, first = words.label("Server-Word-More")
+	label, first = names.label("Server-Word-More")
 	is.Equal(label, "others")
 	is.True(!first)
 }
--- a/src/fleet/usage_test.go
+++ b/src/fleet/usage_test.go
@@ -8,10 +8,10 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// TestOthersAreNotToldOfMissingCopies: only the leader acts on missing copies.
-func TestOthersAreNotToldOfMissingCopies(t *testing.T) {
+// TestOnlyTheLeaderLearnsOfMissingCopies: other control nodes do not act on them.
+func TestOnlyTheLeaderLearnsOfMissingCopies(t *testing.T) {
 	is := is.New(t)
 	models := []wire.Asked{{Service: "s", Model: "m", Requests: 2, Tokens: 40, Missing: 1}}
 	is.Equal(withoutMissing(models), []wire.Asked{{Service: "s", Model: "m", Requests: 2, Tokens: 40}})
-	is.Equal(models[0].Missing, 1) // the leader is told
+	is.Equal(models[0].Missing, 1) // unchanged for the leader
 }
--- a/src/fleet/zone.go
+++ b/src/fleet/zone.go
@@ -22,26 +22,26 @@
 
 // orderZoneBy is orderZone with the origin of the order for the log.
 func (c *controlNode) orderZoneBy(ctx context.Context, zone string, drain bool, by string) ZoneOrderResult {
-	note := func(kind event.Kind, reason string) {
+	logOrder := func(kind event.Kind, reason string) {
 		c.proc.Ring().Add(event.Event{Kind: kind, Zone: zone, Reason: describeOrder(drain, by, reason)})
 	}
 	if _, known := c.settings.Zones[zone]; !known && len(c.settings.Zones) > 0 {
 		reason := fmt.Sprintf("there is no availability zone %q", zone)
-		note(event.ZoneOrderRefused, reason)
+		logOrder(event.ZoneOrderRefused, reason)
 		return ZoneOrderResult{UnknownZone: true, Reason: reason}
 	}
 	select {
 	case <-ctx.Done():
-		note(event.ZoneOrderRefused, "the caller has hung up")
+		logOrder(event.ZoneOrderRefused, "the caller has hung up")
 		return ZoneOrderResult{Reason: "the caller has hung up"}
 	case <-time.After(hangUpWait):
 	}
 	reply := c.cluster.OrderZone(ctx, zone, drain)
 	if reply.Outcome != wire.Accepted {
-		note(event.ZoneOrderRefused, string(reply.Outcome)+": "+reply.Reason)
+		logOrder(event.ZoneOrderRefused, string(reply.Outcome)+": "+reply.Reason)
 		return ZoneOrderResult{Reason: reply.Reason, RetryAfter: time.Duration(reply.RetryMS) * time.Millisecond}
 	}
-	note(event.ZoneOrdered, "")
+	logOrder(event.ZoneOrdered, "")
 	return ZoneOrderResult{Done: true}
 }
 
--- a/src/option/option.go
+++ b/src/option/option.go
@@ -110,8 +110,8 @@
 	Folder string `yaml:"folder"`
 	// ControlNodes lists all control nodes, including this one.
 	ControlNodes []Peer `yaml:"controlNodes"`
-	// DiskCheck is how long the node waits at startup for the other control nodes to tell what this
-	// node's disk should hold.
+	// DiskCheck is how long the node waits at startup for the other control nodes to report what
+	// this node's disk should hold.
 	DiskCheck config.Duration `yaml:"diskCheck"`
 }
 
