--- a/src/event/kind.go
+++ b/src/event/kind.go
@@ -13,7 +13,7 @@
 	ProcessStopped   Kind = 103
 	ProcessDegraded  Kind = 104
 	SettingsReloaded Kind = 105
-	LinesLeftOut     Kind = 106
+	LogLinesDropped  Kind = 106
 	ConfigAccepted   Kind = 200
 	ConfigRefused    Kind = 201
 	ConfigConflict   Kind = 202
@@ -105,7 +105,7 @@
 	{ProcessStopped, "process-stopped", "A process finished its last request and exits."},
 	{ProcessDegraded, "process-degraded", "A process started without the newest configuration, because no control node or other process responded in time."},
 	{SettingsReloaded, "settings-reloaded", "A process read its settings again."},
-	{LinesLeftOut, "log-lines-left-out", "Log lines were dropped, because the output blocked or there were too many of a kind in a second."},
+	{LogLinesDropped, "log-lines-left-out", "Log lines were dropped, because the output blocked or there were too many of a kind in a second."},
 	{ConfigAccepted, "config-accepted", "The control nodes accepted a configuration change."},
 	{ConfigRefused, "config-refused", "A configuration change was invalid and was refused as a whole."},
 	{ConfigConflict, "config-conflict", "A configuration change was based on an older revision of an object that it changes."},
--- a/src/event/writer.go
+++ b/src/event/writer.go
@@ -126,7 +126,7 @@
 		text = append(text, l.text...)
 	}
 	if dropped > 0 {
-		text = fmt.Appendf(text, "event=%d lines=%d msg=log-lines-left-out\n", LinesLeftOut, dropped)
+		text = fmt.Appendf(text, "event=%d lines=%d msg=log-lines-left-out\n", LogLinesDropped, dropped)
 	}
 	if len(text) > 0 {
 		_, _ = w.out.Write(text)
