--- a/src/fleet/unknown_test.go
+++ b/src/fleet/unknown_test.go
@@ -7,20 +7,21 @@
 	"github.com/matryer/is"
 )
 
-// TestUnknownWordsAreBounded: each name is new once, and those beyond the bound are one.
-func TestUnknownWordsAreBounded(t *testing.T) {
+// TestUnknownNamesAreBounded checks that each name is new once, and that names beyond the bound
+// share a label.
+func TestUnknownNamesAreBounded(t *testing.T) {
 	is := is.New(t)
-	words := newUnknownWords(nil)
-	for i := range maxUnknownWords {
+	names := newUnknownNames(nil)
+	for i := range maxUnknownNames {
 		name := fmt.Sprint("Server-Word-", i)
-		label, first := words.label(name)
+		label, first := names.label(name)
 		is.Equal(label, name)
 		is.True(first)
 	}
-	label, first := words.label("Server-Word-0")
+	label, first := names.label("Server-Word-0")
 	is.Equal(label, "Server-Word-0")
 	is.True(!first)
-	label, first = words.label("Server-Word-More")
+	label, first = names.label("Server-Word-More")
 	is.Equal(label, "others")
 	is.True(!first)
 }
