--- a/src/exchange/admit.go
+++ b/src/exchange/admit.go
@@ -13,33 +13,33 @@
 
 // Admission admits the requests of client accounts.
 type Admission struct {
-	// Admit asks for units of an account's limit.
+	// Admit requests units of an account's limit.
 	Admit func(ctx context.Context, account *catalog.Account, units float64) admission.Verdict
-	// Return gives back units that were granted until a time and not spent.
+	// Return gives back units that were granted until a time and not used.
 	Return func(account string, units float64, until time.Time)
-	// Trusted reports whether a configuration may decide over requests with a key.
+	// Trusted reports whether a configuration is confirmed recently enough to decide on requests
+	// with a key.
 	Trusted func(now time.Time, version uint64) bool
-	// AwaitTrust waits until it may, as long as that is expected soon.
+	// AwaitTrust waits until the configuration is confirmed, as long as that is expected soon.
 	AwaitTrust func(ctx context.Context, version uint64) bool
-	// Now is the clock that grants and trust are measured by: it counts the time for which the
-	// host was suspended.
+	// Now is the clock of grants and confirmations. It counts while the host is suspended.
 	Now func() time.Time
 }
 
-// admitWithin bounds the wait for an admission, an election included.
-const admitWithin = time.Second
+// admissionTimeout limits the wait for an admission. It is long enough for an election.
+const admissionTimeout = time.Second
 
-// permit is what a request was granted and has not spent.
-type permit struct {
+// grant is the part of the account's limit that was granted to a request and is not used yet.
+type grant struct {
 	units float64
 	until time.Time
 }
 
-// valid reports whether a send now is covered.
-func (p *permit) valid(now time.Time) bool { return now.Before(p.until) }
+// valid reports whether the grant covers a send now.
+func (p *grant) valid(now time.Time) bool { return now.Before(p.until) }
 
-// identify finds the client account of a request; without one it answers the client and
-// reports false, but for anonymous routes.
+// identify determines the client account of a request. If there is none and the route is not
+// anonymous, it responds to the client and returns false.
 func (c *call) identify(table *catalog.Table) bool {
 	if !table.Keyed() {
 		return true
@@ -48,39 +48,39 @@
 	if c.account != nil || c.route.Anonymous {
 		return true
 	}
-	if !c.trusted(table) {
-		c.refuseUnsure("the configuration was not known to be the newest for too long")
+	if !c.configTrusted(table) {
+		c.refuseUndecided("the configuration was not known to be the newest for too long")
 		return false
 	}
 	c.handler.options.Metrics.KeysRefused.Inc(1)
-	c.handler.options.Ring.Add(event.Event{Kind: event.KeyRefused, Request: c.facts.ID, Reason: keyFault(c.facts.Key)})
-	c.refuse(http.StatusUnauthorized, keyFault(c.facts.Key))
+	c.handler.options.Ring.Add(event.Event{Kind: event.KeyRefused, Request: c.facts.ID, Reason: describeKeyError(c.facts.Key)})
+	c.refuse(http.StatusUnauthorized, describeKeyError(c.facts.Key))
 	return false
 }
 
-func keyFault(key catalog.Key) string {
+func describeKeyError(key catalog.Key) string {
 	if key == "" {
 		return "the request has no key"
 	}
 	return "no client account holds " + key.String()
 }
 
-// trusted reports whether the configuration may decide over requests with a key; one that
-// was not confirmed lately is confirmed now.
-func (c *call) trusted(table *catalog.Table) bool {
+// configTrusted reports whether the configuration may decide on requests with a key. A
+// configuration that was not confirmed recently is confirmed now.
+func (c *call) configTrusted(table *catalog.Table) bool {
 	h := c.handler
 	if h.options.Admission.Trusted(h.options.Admission.Now(), table.Version()) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(c.request.Context(), admitWithin)
+	ctx, cancel := context.WithTimeout(c.request.Context(), admissionTimeout)
 	defer cancel()
 	return h.options.Admission.AwaitTrust(ctx, table.Version())
 }
 
-// mayGoOn reports whether the request may be sent to a replica now: its key is still in
-// force, which is known lately enough, and its account has what it asks for. Where not, it
-// answers the client.
-func (c *call) mayGoOn(ctx context.Context) bool {
+// reauthorize reports whether the request may be sent to a replica now: its key is still valid, the
+// configuration is confirmed recently enough, and the account has the units that the request needs.
+// If not, it responds to the client.
+func (c *call) reauthorize(ctx context.Context) bool {
 	if c.account == nil {
 		return true
 	}
@@ -91,35 +91,36 @@
 		return false
 	}
 	if account == nil || account.Name != c.account.Name {
-		c.permit = permit{}
+		c.grant = grant{}
 	}
 	if account == nil {
 		c.account = nil
 		return true
 	}
 	c.account = account
-	if !c.paid(ctx) {
+	if !c.ensureGrant(ctx) {
 		return false
 	}
-	if !c.route.Anonymous && !c.trusted(table) {
+	if !c.route.Anonymous && !c.configTrusted(table) {
 		c.deny(http.StatusServiceUnavailable, "the configuration was not known to be the newest for too long")
 		return false
 	}
 	return true
 }
 
-// paid reports whether the account has granted what a send takes.
-func (c *call) paid(ctx context.Context) bool {
-	if c.account.Limit.Rate <= 0 || c.permit.valid(c.handler.options.Admission.Now()) {
+// ensureGrant reports whether the account has granted the units for a send, and requests them if
+// necessary.
+func (c *call) ensureGrant(ctx context.Context) bool {
+	if c.account.Limit.Rate <= 0 || c.grant.valid(c.handler.options.Admission.Now()) {
 		return true
 	}
 	units := c.account.Cost(c.facts.PromptTokens + c.facts.OutputTokens)
-	ctx, cancel := context.WithTimeout(ctx, admitWithin)
+	ctx, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
 	verdict := c.handler.options.Admission.Admit(ctx, c.account, units)
 	if verdict.Admission == wire.Granted {
-		c.permit = permit{units: units, until: verdict.Until}
-		if c.permit.valid(c.handler.options.Admission.Now()) {
+		c.grant = grant{units: units, until: verdict.Until}
+		if c.grant.valid(c.handler.options.Admission.Now()) {
 			return true
 		}
 	}
@@ -134,24 +135,24 @@
 	return false
 }
 
-// deny ends a request that must not be sent, with a status that promises that it has not
-// run; one that may have run gets an answer that promises nothing.
+// deny ends a request that must not be sent. The status tells the client that the request has not
+// run, unless an earlier attempt may have run it.
 func (c *call) deny(status int, reason string) {
 	switch {
-	case c.stream != nil && c.stream.begun:
-		c.breakOff(reason)
-	case c.ran > 0:
-		c.refuse(c.unanswered(), reason)
+	case c.stream != nil && c.stream.started:
+		c.abortResponse(reason)
+	case c.possibleRuns > 0:
+		c.refuse(c.unknownOutcomeStatus(), reason)
 	case status == http.StatusServiceUnavailable:
-		c.refuseUnsure(reason)
+		c.refuseUndecided(reason)
 	default:
 		c.refuse(status, reason)
 	}
 }
 
-// refuseUnsure refuses a request that the installation can't decide over at present.
-func (c *call) refuseUnsure(reason string) {
-	c.handler.options.Metrics.Unsure.Inc(1)
+// refuseUndecided refuses a request that cannot be decided on at present.
+func (c *call) refuseUndecided(reason string) {
+	c.handler.options.Metrics.Undecided.Inc(1)
 	c.handler.options.Ring.Add(event.Event{Kind: event.AdmissionUnsure, Request: c.facts.ID, Reason: reason})
 	if c.retryIn == 0 {
 		c.retryIn = retryAfterStart
@@ -159,23 +160,23 @@
 	c.refuse(http.StatusServiceUnavailable, reason)
 }
 
-// spend takes the permit for a send.
-func (c *call) spend() permit {
-	spent := c.permit
-	c.permit = permit{}
+// takeGrant takes the grant for a send.
+func (c *call) takeGrant() grant {
+	spent := c.grant
+	c.grant = grant{}
 	return spent
 }
 
-// giveBack returns what a request was granted and has not spent.
-func (c *call) giveBack() {
-	if c.account == nil || c.permit.until.IsZero() {
+// returnGrant gives back the unused grant.
+func (c *call) returnGrant() {
+	if c.account == nil || c.grant.until.IsZero() {
 		return
 	}
-	c.handler.options.Admission.Return(c.account.Name, c.permit.units, c.permit.until)
-	c.permit = permit{}
+	c.handler.options.Admission.Return(c.account.Name, c.grant.units, c.grant.until)
+	c.grant = grant{}
 }
 
-// priority is the account's if it has one, else the route's.
+// priority returns the priority of the account, or that of the route if the account has none.
 func (c *call) priority() int {
 	if c.account != nil && c.account.Priority != nil {
 		return *c.account.Priority
@@ -183,7 +184,7 @@
 	return c.route.Priority
 }
 
-// accountName is the client account's name, "" for requests without one.
+// accountName returns the name of the client account, "" for requests without one.
 func (c *call) accountName() string {
 	if c.account == nil {
 		return ""
--- a/src/exchange/attempt.go
+++ b/src/exchange/attempt.go
@@ -13,48 +13,48 @@
 	"github.com/moorspool/moorspool/src/event"
 )
 
-// outcome says how one attempt ended.
+// outcome is the result of one attempt.
 type outcome uint8
 
 const (
-	// answered means that the client has the answer, or its beginning.
+	// answered means that the client has received the response or the start of it.
 	answered outcome = iota
 	// notRun means that the replica has not run the request and will not.
 	notRun
-	// unknown means that it may have run.
+	// unknown means that the replica may have run the request.
 	unknown
-	// failed means that it ran and the replica answered with a failure that is kept.
+	// failed means that the replica ran the request and returned an error, which is kept.
 	failed
-	// cut means that the client's answer has begun and can't go on as it was.
-	cut
-	// withheld means that nothing was sent, since the replica takes no requests now.
-	withheld
+	// truncated means that the client's response has begun and cannot be continued.
+	truncated
+	// notAccepted means that nothing was sent because the replica accepts no requests now.
+	notAccepted
 )
 
-// again reports whether another replica may be tried.
-func (c *call) again(ctx context.Context, ended outcome) bool {
-	if ctx.Err() != nil || c.handler.options.Now().Add(answerMargin).After(c.deadline) {
+// mayRetry reports whether another replica may be tried.
+func (c *call) mayRetry(ctx context.Context, ended outcome) bool {
+	if ctx.Err() != nil || c.handler.options.Now().Add(responseMargin).After(c.deadline) {
 		return false
 	}
-	if c.stream != nil && c.stream.begun && !c.route.Idempotent() {
+	if c.stream != nil && c.stream.started && !c.route.Idempotent() {
 		return false
 	}
-	if ended != notRun && (ended != withheld || c.ran > 0) {
-		if !c.route.Idempotent() || c.ran >= max(c.route.Attempts, 1) {
+	if ended != notRun && (ended != notAccepted || c.possibleRuns > 0) {
+		if !c.route.Idempotent() || c.possibleRuns >= max(c.route.Attempts, 1) {
 			return false
 		}
 	}
-	if ended == withheld {
+	if ended == notAccepted {
 		return true
 	}
 	if c.sends >= maxSends {
 		return false
 	}
-	if c.arrivals == 0 {
+	if c.possibleArrivals == 0 {
 		return true
 	}
 	now := c.handler.options.Now()
-	if !c.handler.budgets.of(c.service).Take(now, int(c.handler.gateways.Load())) {
+	if !c.handler.budgets.get(c.service).Take(now, int(c.handler.gateways.Load())) {
 		c.reason += "; the retry budget is spent"
 		return false
 	}
@@ -62,8 +62,8 @@
 	return true
 }
 
-// attempt offers the request to a replica.
-func (c *call) attempt(ctx context.Context, choice Choice) (outcome, *keptAnswer) {
+// attempt sends the request to a replica.
+func (c *call) attempt(ctx context.Context, choice Choice) (outcome, *errorResponse) {
 	h := c.handler
 	peer := choice.Peer
 	now := h.options.Now()
@@ -72,67 +72,68 @@
 	if c.permitWait > 0 {
 		c.reason += ", waited " + c.permitWait.String() + " for a permit"
 	}
-	o := c.outgoing(choice, now)
-	within, lose := context.WithCancel(ctx)
-	defer lose()
-	dog := watch(within, peer, lose)
-	defer dog.stop()
-	peer.begin(choice.ReadTime)
-	defer peer.end()
-	unread := choice.ReadTime
-	defer func() { peer.read(unread) }()
-	paid := c.spend()
-	h.options.Fleet.Sent(now, peer, c.facts.Model, c.facts.Parts, choice.ReadTime)
+	o := c.outgoingRequest(choice, now)
+	attemptCtx, cancelAttempt := context.WithCancel(ctx)
+	defer cancelAttempt()
+	silenceWatch := newWatchdog(attemptCtx, peer, cancelAttempt)
+	defer silenceWatch.stop()
+	peer.startRequest(choice.PrefillTime)
+	defer peer.finishRequest()
+	pendingPrefill := choice.PrefillTime
+	defer func() { peer.read(pendingPrefill) }()
+	spent := c.takeGrant()
+	h.options.Fleet.Sent(now, peer, c.facts.Model, c.facts.Parts, choice.PrefillTime)
 	c.sends++
-	var by sending
-	with := talk{
+	var sent sentRequest
+	hooks := sendHooks{
 		admit: func() bool {
-			by = sending{at: h.options.Fleet.bootNow(), term: c.sendPermit.term, permit: c.sendPermit.number}
-			return c.spendsPermit(peer) && h.options.Fleet.admit(peer)
+			sent = sentRequest{sentAt: h.options.Fleet.bootNow(), term: c.sendPermit.term, grant: c.sendPermit.number}
+			return c.usePermit(peer) && h.options.Fleet.admit(peer)
 		},
-		read: func(status int, header http.Header) Reply { return c.heard(peer, status, header, by) },
+		read: func(status int, header http.Header) Reply { return c.applyReply(peer, status, header, sent) },
 	}
-	a, err := send(within, peer.pool, o, c.facts.ID, with, choice.dialWithin(), c.headBy(now), now)
-	if errors.Is(err, errWithheld) {
-		c.withhold(paid)
-		return withheld, nil
+	a, err := send(attemptCtx, peer.pool, o, c.facts.ID, hooks, choice.connectTimeout(), c.headDeadline(now), now)
+	if errors.Is(err, errNotAccepted) {
+		c.undoAttempt(spent)
+		return notAccepted, nil
 	}
 	if err != nil {
-		ended := c.sendFailed(ctx, peer, err)
+		ended := c.handleSendError(ctx, peer, err)
 		if ended == notRun {
-			c.permit = paid
+			c.grant = spent
 		}
 		return ended, nil
 	}
-	c.arrivals++
-	c.unsent = false
+	c.possibleArrivals++
+	c.notSent = false
 	_ = a.conn.raw.SetDeadline(c.deadline)
-	h.options.Fleet.Told(h.options.Now(), peer, a.reply.Load)
+	h.options.Fleet.UpdateLoad(h.options.Now(), peer, a.reply.Load)
 	if a.reply.NotRun {
-		c.permit = paid
-		return c.rejected(peer, a), nil
+		c.grant = spent
+		return c.handleRejection(peer, a), nil
 	}
-	c.ran++
+	c.possibleRuns++
 	if a.response.StatusCode >= http.StatusInternalServerError {
-		return c.keep(peer, a)
+		return c.bufferError(peer, a)
 	}
 	if c.route.Kind == catalog.Streaming {
-		return c.passStream(ctx, peer, a, dog, &unread, reading{began: now, tokens: choice.Read, model: c.facts.Model}), nil
+		return c.relayStream(ctx, peer, a, silenceWatch, &pendingPrefill, prefill{began: now, tokens: choice.PrefillTokens, model: c.facts.Model}), nil
 	}
-	return c.passWhole(ctx, peer, a), nil
+	return c.relayBuffered(ctx, peer, a), nil
 }
 
-// withhold takes back an attempt that was not sent: it cost nothing and its replica counts as
-// not tried, since it may take the request a little later.
-func (c *call) withhold(paid permit) {
-	c.permit = paid
+// undoAttempt reverts the accounting of an attempt that was not sent. It used no quota, and its
+// replica counts as untried because it may accept the request shortly after.
+func (c *call) undoAttempt(spent grant) {
+	c.grant = spent
 	c.sends--
 	c.tried = c.tried[:len(c.tried)-1]
-	c.unsent = true
+	c.notSent = true
 }
 
-// heard reads the head of an answer from a replica, whichever request it belongs to.
-func (c *call) heard(peer *Peer, status int, header http.Header, by sending) Reply {
+// applyReply decodes the head of a response from a replica, whichever request it belongs to, and
+// updates the replica's state from it.
+func (c *call) applyReply(peer *Peer, status int, header http.Header, sent sentRequest) Reply {
 	reply := c.handler.options.Codec.Reply(status, header)
 	if reply.Backoff > 0 {
 		c.handler.options.Metrics.Backoffs.Inc(1)
@@ -140,16 +141,16 @@
 	if len(reply.Unknown) > 0 && c.handler.options.Unknown != nil {
 		c.handler.options.Unknown(peer.ID(), reply.Unknown)
 	}
-	c.handler.options.Fleet.heard(peer, &reply)
-	by.answered = reply.ID == c.facts.ID && !reply.NotRun && status < http.StatusInternalServerError
-	c.handler.hearLimit(peer, reply.Limit, by)
+	c.handler.options.Fleet.applyReply(peer, &reply)
+	sent.succeeded = reply.ID == c.facts.ID && !reply.NotRun && status < http.StatusInternalServerError
+	c.handler.noteLimit(peer, reply.Limit, sent)
 	return reply
 }
 
-// headBy is when the head of a replica's answer must be here: where another
-// replica may be tried, early enough for that.
-func (c *call) headBy(now time.Time) time.Time {
-	if !c.route.Idempotent() || c.ran+1 >= c.route.Attempts {
+// headDeadline returns when the head of the replica's response must have arrived. If another
+// replica may be tried, it leaves time for that.
+func (c *call) headDeadline(now time.Time) time.Time {
+	if !c.route.Idempotent() || c.possibleRuns+1 >= c.route.Attempts {
 		return c.deadline
 	}
 	wait := max(3*c.route.Target/2, c.deadline.Sub(now)/3)
@@ -163,7 +164,7 @@
 	return b
 }
 
-func (c *call) outgoing(choice Choice, now time.Time) *outgoing {
+func (c *call) outgoingRequest(choice Choice, now time.Time) *outgoingRequest {
 	peer := choice.Peer
 	codec := &c.handler.options.Codec
 	header := make(http.Header, len(c.request.Header)+4)
@@ -176,20 +177,20 @@
 	}
 	attempt := Attempt{
 		Replica:     peer.name(),
-		Backup:      c.backupAddress(now, peer),
-		Remaining:   c.deadline.Sub(now) - answerMargin,
+		Backup:      c.chooseBackup(now, peer),
+		Remaining:   c.deadline.Sub(now) - responseMargin,
 		Priority:    c.priority(),
 		Account:     c.accountName(),
 		ResumeAfter: c.resumeAfter(),
 	}
-	if choice.Continues {
+	if choice.FromBackup {
 		attempt.Continue = peer.pool.address
 	}
 	codec.Prepare(header, c.facts, attempt)
-	return &outgoing{method: c.request.Method, target: c.request.RequestURI, host: c.request.Host, header: header, body: c.body}
+	return &outgoingRequest{method: c.request.Method, target: c.request.RequestURI, host: c.request.Host, header: header, body: c.body}
 }
 
-// connectionHeaders are those that the client's Connection header names.
+// connectionHeaders returns the header names listed in the Connection header.
 func connectionHeaders(header http.Header) map[string]bool {
 	var named map[string]bool
 	for _, value := range header.Values("Connection") {
@@ -203,20 +204,20 @@
 	return named
 }
 
-func (c *call) sendFailed(ctx context.Context, peer *Peer, err error) outcome {
+func (c *call) handleSendError(ctx context.Context, peer *Peer, err error) outcome {
 	h := c.handler
-	if !c.left() {
+	if !c.clientLeft() {
 		c.reason += "; " + err.Error()
 	}
 	sent := !errors.Is(err, errNotSent)
-	c.unsent = !sent
+	c.notSent = !sent
 	if sent {
-		c.arrivals++
-		c.ran++
+		c.possibleArrivals++
+		c.possibleRuns++
 	}
 	if ctx.Err() == nil {
-		c.broke = sent && !errors.Is(err, errForeign)
-		pause := peer.failed(h.options.Now(), !errors.Is(err, errForeign))
+		c.connectionBroke = sent && !errors.Is(err, errOtherRequest)
+		pause := peer.failed(h.options.Now(), !errors.Is(err, errOtherRequest))
 		h.options.Ring.Add(event.Event{Kind: event.HostEjected, Request: c.facts.ID, Host: peer.ID(), Reason: err.Error() + "; avoided for " + pause.String()})
 	}
 	if sent {
@@ -225,20 +226,20 @@
 	return notRun
 }
 
-// rejected drops the answer of a replica that did not run the request.
-func (c *call) rejected(peer *Peer, a *answer) outcome {
+// handleRejection discards the response of a replica that did not run the request.
+func (c *call) handleRejection(peer *Peer, a *replicaResponse) outcome {
 	h := c.handler
-	if _, err := io.Copy(io.Discard, io.LimitReader(a.response.Body, maxKept)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(a.response.Body, maxBufferedBytes)); err != nil {
 		a.abort()
 	} else {
-		a.finish(h.options.Now())
+		a.reuseConn(h.options.Now())
 	}
-	c.reason += "; " + peer.ID() + " did not run it: " + a.response.Status + a.reply.asked()
+	c.reason += "; " + peer.ID() + " did not run it: " + a.response.Status + a.reply.describeRequests()
 	if a.reply.Elsewhere && c.facts.Model != "" {
-		peer.lacks(h.options.Now(), c.facts.Model, c.facts.Adapter)
+		peer.noteMissingCopy(h.options.Now(), c.facts.Model, c.facts.Adapter)
 	}
-	// A replica that asks to be left alone has not failed: it is left alone, and counts as sound
-	// again once it takes requests.
+	// A replica that asked for a backoff has not failed. It is avoided for that time and then used
+	// as before.
 	if !a.reply.Elsewhere && a.reply.Backoff == 0 {
 		peer.failed(h.options.Now(), false)
 	}
--- a/src/exchange/backoff_ways_test.go
+++ b/src/exchange/backoff_ways_test.go
@@ -80,14 +80,14 @@
 
 // sim is one run.
 type sim struct {
-	way      simWay
-	rest     time.Duration
-	random   *rand.Rand
-	now      time.Duration
-	events   simQueueOf
-	replicas [simReplicas]simReplica
-	intakes  [simGateways][simReplicas]intake
-	lines    [simGateways]*lines
+	way        simWay
+	rest       time.Duration
+	random     *rand.Rand
+	now        time.Duration
+	events     simQueueOf
+	replicas   [simReplicas]simReplica
+	intakes    [simGateways][simReplicas]backoffState
+	waitQueues [simGateways]*waitQueues
 	// worth is what all callers got, urgentWorth what those of urgent requests did.
 	worth, urgentWorth float64
 	sent, urgent       int
@@ -95,7 +95,7 @@
 	turnedOff          int
 }
 
-var simLine = copyOf{service: "s"}
+var simLine = queueKey{service: "s"}
 
 func (s *sim) clock() time.Time { return noon.Add(s.now) }
 
@@ -105,8 +105,8 @@
 
 func runSim(way simWay, load float64, rest time.Duration, seed uint64) *sim {
 	s := &sim{way: way, rest: rest, random: rand.New(rand.NewPCG(seed, 43))}
-	for i := range s.lines {
-		s.lines[i] = newLines()
+	for i := range s.waitQueues {
+		s.waitQueues[i] = newWaitQueues()
 	}
 	rate := load * simReplicas * simSlots / simWork.Seconds()
 	for at := 0.0; at < simSpan.Seconds(); at += s.random.ExpFloat64() / rate {
@@ -127,7 +127,7 @@
 func (s *sim) offer(r *simRequest, tried int) {
 	best, opens := -1, time.Duration(0)
 	for i := range s.replicas {
-		from, taken := s.intakes[r.gateway][i].takes(s.clock())
+		from, taken := s.intakes[r.gateway][i].accepts(s.clock())
 		if !taken {
 			if wait := from.Sub(s.clock()); opens == 0 || wait < opens {
 				opens = wait
@@ -139,7 +139,7 @@
 		}
 	}
 	switch {
-	case best >= 0 && (r.w != nil || !s.way.ordered || !s.lines[r.gateway].any(simLine)):
+	case best >= 0 && (r.w != nil || !s.way.ordered || !s.waitQueues[r.gateway].any(simLine)):
 		s.leaveLine(r)
 		s.send(r, best, tried)
 	case tried != 0 || s.now+opens > r.came+s.way.within || s.way.within == 0:
@@ -155,27 +155,27 @@
 		return
 	}
 	r.held += s.now - r.heldFrom
-	s.lines[r.gateway].leave(simLine, r.w)
+	s.waitQueues[r.gateway].remove(simLine, r.w)
 	r.w = nil
 }
 
 func (s *sim) wait(r *simRequest, opens time.Duration) {
-	line := s.lines[r.gateway]
+	line := s.waitQueues[r.gateway]
 	if r.w == nil {
-		if r.w = line.join(simLine, r.priority, "", simReplicas*simSlots); r.w == nil {
+		if r.w = line.enqueue(simLine, r.priority, "", simReplicas*simSlots); r.w == nil {
 			s.refuse(r, opens)
 			return
 		}
 		r.heldFrom = s.now
 	}
 	s.after(10*time.Millisecond, func() {
-		if line.putOut(r.w) {
+		if line.wasEvicted(r.w) {
 			r.held += s.now - r.heldFrom
 			r.w = nil
 			s.refuse(r, opens)
 			return
 		}
-		if s.way.ordered && !line.turn(simLine, r.w) && s.now < r.came+s.way.within {
+		if s.way.ordered && !line.isFirst(simLine, r.w) && s.now < r.came+s.way.within {
 			s.wait(r, opens)
 			return
 		}
@@ -188,12 +188,12 @@
 	in.admit(s.clock())
 	s.after(time.Millisecond, func() {
 		if replica.busy < simSlots {
-			in.answered(s.clock())
+			in.noteAccepted(s.clock())
 			s.run(r, replica)
 			return
 		}
 		if replica.queued < simQueue {
-			in.answered(s.clock())
+			in.noteAccepted(s.clock())
 			replica.queued++
 			replica.waiting = append(replica.waiting, func() { s.run(r, replica) })
 			return
@@ -242,7 +242,7 @@
 // third of its time. What was held and is not served costs by how long it was held.
 func (s *sim) refuse(r *simRequest, opens time.Duration) {
 	r.tries++
-	back := spreadReturn(opens, s.random.Float64())
+	back := jitterRetry(opens, s.random.Float64())
 	if left := r.came + simDeadline - s.now; r.tries < simTries && back <= left/3 {
 		r.gateway = s.random.IntN(simGateways)
 		s.after(back, func() { s.offer(r, 0) })
--- a/src/exchange/budget.go
+++ b/src/exchange/budget.go
@@ -5,34 +5,31 @@
 	"time"
 )
 
-// A budget's window is counted in so many parts. Repeats are remembered one part
-// longer: the present part has only begun, so a window reaches into the oldest.
+// The window of a budget is divided into buckets. Repeats are kept for one bucket longer than
+// requests: the current bucket is incomplete, so the window reaches into the oldest one.
 const (
 	requestBuckets = 20
 	repeatBuckets  = requestBuckets + 1
 )
 
-// The parts of a budget that gateways spend. A repeat may be counted in a window
-// that ends later and so holds fewer of the requests that allowed it: any two
-// windows beside each other hold at most twice the larger one.
+// The shares of a budget that gateways use. A repeat may fall into a later window than the requests
+// that allowed it; two adjacent windows together hold at most twice the larger one.
 const (
-	ratioMargin = 0.5
-	extraMargin = 0.8
+	ratioSpendShare = 0.5
+	extraSpendShare = 0.8
 )
 
-// BudgetLimits bound the arrivals beyond the first of each request, summed over
-// all gateways.
+// BudgetLimits limit the arrivals of requests beyond the first, summed over all gateways.
 type BudgetLimits struct {
 	// Ratio is the share of requests that may be sent a second time.
 	Ratio float64
-	// Extra is what may come on top in one window.
+	// Extra is the number of repeats in a window that are allowed in addition.
 	Extra float64
-	// Window is the span that counts.
+	// Window is the length of the window.
 	Window time.Duration
 }
 
-// Budget is one gateway's share of the retries to one service; it is safe for
-// concurrent use.
+// Budget is one gateway's share of the retries to one service. It is safe for concurrent use.
 type Budget struct {
 	limits BudgetLimits
 
@@ -45,20 +42,20 @@
 // NewBudget returns an unused budget.
 func NewBudget(limits BudgetLimits) *Budget { return &Budget{limits: limits} }
 
-// Request counts a request's first arrival.
+// Request counts the first arrival of a request.
 func (b *Budget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn(now)
+	b.advance(now)
 	b.requests[b.bucket%requestBuckets]++
 }
 
-// Take spends one repeat if the budget has one; gateways is how many share it.
+// Take uses one repeat if the budget has one. The budget is shared by the given number of gateways.
 func (b *Budget) Take(now time.Time, gateways int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn(now)
-	allowed := ratioMargin*b.limits.Ratio*total(b.requests[:]) + extraMargin*b.limits.Extra/float64(max(gateways, 1))
+	b.advance(now)
+	allowed := ratioSpendShare*b.limits.Ratio*total(b.requests[:]) + extraSpendShare*b.limits.Extra/float64(max(gateways, 1))
 	if total(b.repeats[:])+1 > allowed {
 		return false
 	}
@@ -66,8 +63,8 @@
 	return true
 }
 
-// turn empties the buckets that time has passed over; the lock is held.
-func (b *Budget) turn(now time.Time) {
+// advance clears the buckets that have left the window; the lock is held.
+func (b *Budget) advance(now time.Time) {
 	present := now.UnixNano() / int64(b.limits.Window/requestBuckets)
 	for step := int64(0); b.bucket < present && step < repeatBuckets; step++ {
 		b.bucket++
--- a/src/exchange/choice.go
+++ b/src/exchange/choice.go
@@ -8,166 +8,169 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// The estimates of a choice, in milliseconds.
+// Terms of the estimated time to the first byte of a request at a replica.
 const (
-	// runningCost is what each request that runs adds.
-	runningCost = 1.2
-	// waitingCost is what each request that waits adds.
-	waitingCost = 40.0
-	// farCost is what another availability zone adds.
-	farCost = 12.0
-	// failingCost is what a replica that only fails adds.
-	failingCost = 800.0
-	// slotCost is what a plain service's taken place adds, as a share of all.
-	slotCost = 30.0
-	// fullCost is added when all places are taken.
-	fullCost = 60.0
-	// jitter breaks ties, so that gateways don't all choose alike.
-	jitter = 2.0
+	// runningCostMS is added for each request that the replica is running.
+	runningCostMS = 1.2
+	// waitingCostMS is added for each request that is queued at the replica.
+	waitingCostMS = 40.0
+	// crossZoneCostMS is added for a replica in another availability zone.
+	crossZoneCostMS = 12.0
+	// failureCostMS is multiplied by the replica's recent failure share, and added once for an
+	// ejected replica.
+	failureCostMS = 800.0
+	// slotUseCostMS is multiplied by the used share of a plain service's slots.
+	slotUseCostMS = 30.0
+	// fullCostMS is multiplied by that share and added once all slots are used.
+	fullCostMS = 60.0
+	// jitterMS is the upper bound of a random term, so that gateways with equal estimates choose
+	// different replicas.
+	jitterMS = 2.0
 )
 
-// Want is what a request needs of a replica.
-type Want struct {
+// Requirements are what a request needs of a replica.
+type Requirements struct {
 	Service string
 	// Model is "" for plain services.
-	Model   string
-	Adapter string
-	Prompt  int
-	Parts   []Part
-	// Residency says in which regions the request may be served.
+	Model        string
+	Adapter      string
+	PromptLength int
+	Parts        []Part
+	// Residency holds the regions in which the request may be served.
 	Residency catalog.Residency
-	// PermitWithin is how long the request can wait for a permit for a cold or limited replica, below
-	// 0 if it asks for none.
-	PermitWithin time.Duration
-	// Rationed is set if only replicas that need a permit are looked for.
-	Rationed bool
+	// MaxPermitWait is how long the request can wait for a permit for a cold or rate-limited
+	// replica. It is negative if the request must not ask for one.
+	MaxPermitWait time.Duration
+	// PermitOnly restricts the choice to replicas that need a permit.
+	PermitOnly bool
 }
 
-// Verdict says how a choice came out.
+// Verdict is the result of a choice.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// Chosen means that there is a replica.
+	// Chosen means that a replica was found.
 	Chosen Verdict = iota
-	// Missing means that no replica in reach holds the model or adapter.
-	Missing
-	// None means that no replica of the service is in reach.
-	None
-	// Crowded means that all places are taken for longer than the request has.
-	Crowded
-	// Unread means that no replica would begin the prompt in time.
-	Unread
-	// BackedOff means that every replica that could run it wants nothing for a time.
-	BackedOff
+	// ModelMissing means that no reachable replica holds the model or adapter.
+	ModelMissing
+	// NoReplica means that no replica of the service is reachable.
+	NoReplica
+	// NoFreeSlot means that all slots of the service stay occupied for longer than the request can
+	// wait.
+	NoFreeSlot
+	// Backlog means that no replica would start on the prompt in time.
+	Backlog
+	// NotAccepting means that every replica that could run the request accepts none for now.
+	NotAccepting
 )
 
-// Choice is a chosen replica with what decided.
+// Choice is the chosen replica, or the reason why there is none.
 type Choice struct {
 	Peer    *Peer
 	Verdict Verdict
-	// Read is the part of the prompt that the replica has to read, ReadTime how long
-	// it is expected to need for it.
-	Read     int
-	ReadTime time.Duration
-	// PieceTime is how long the replica needs to read one piece of a prompt.
-	PieceTime time.Duration
-	// Others is how many further replicas could have been chosen.
-	Others int
-	// Continues is set if the run goes on from a copy that the replica kept.
-	Continues bool
-	// Unread is how long the replica needs for the prompts that it was sent before.
-	Unread time.Duration
-	// OpensIn is, of replicas that want nothing for a time, after how long the first one takes
-	// requests again, and Places how many they work on at once.
-	OpensIn time.Duration
-	Places  int
-	Reason  string
+	// PrefillTokens is the part of the prompt that the replica is expected not to have cached,
+	// PrefillTime the time it is expected to need for that part.
+	PrefillTokens int
+	PrefillTime   time.Duration
+	// ChunkTime is the time that the replica needs for one prefill chunk.
+	ChunkTime time.Duration
+	// Alternatives is the number of other replicas that could have been chosen.
+	Alternatives int
+	// FromBackup is set if the replica continues the run from the copy that it kept.
+	FromBackup bool
+	// Backlog is the time that the replica needs for the prompts it was sent before.
+	Backlog time.Duration
+	// AcceptsIn is the time until the first of the replicas that accept nothing now accepts
+	// requests again, and Slots is the sum of their slots.
+	AcceptsIn time.Duration
+	Slots     int
+	Reason    string
 }
 
-// dialWithin is how long connecting to the chosen replica may take.
-func (c *Choice) dialWithin() time.Duration {
-	if c.Others > 0 {
+// connectTimeout returns how long connecting to the chosen replica may take.
+func (c *Choice) connectTimeout() time.Duration {
+	if c.Alternatives > 0 {
 		return dialAttempt
 	}
 	return dialTimeout
 }
 
-// Pick chooses the replica from which the answer is expected soonest.
-func (f *Fleet) Pick(now time.Time, want Want, tried []*Peer) Choice {
+// Pick chooses the replica with the lowest estimated time to the first byte.
+func (f *Fleet) Pick(now time.Time, want Requirements, tried []*Peer) Choice {
 	held := copyKey{model: want.Model, adapter: want.Adapter}
-	best := Choice{Verdict: None}
+	best := Choice{Verdict: NoReplica}
 	bestCost := 0.0
-	var bestLook outlook
+	var bestEstimate loadEstimate
 	seen := 0
-	for _, c := range f.index.of(want.Service, held) {
-		if !f.resides(&want, c.zone) {
+	for _, c := range f.index.lookup(want.Service, held) {
+		if !f.residencyAllows(&want, c.zone) {
 			continue
 		}
-		if wait, taken := f.takesFrom(c.peer); !taken {
-			best.opensIn(wait, c.peer)
+		if wait, accepted := f.acceptsIn(c.peer); !accepted {
+			best.addNotAccepting(wait, c.peer)
 			continue
 		}
-		wait, rationed := time.Duration(0), f.needsPermit(c.peer)
-		if want.Rationed && !rationed {
+		wait, permitNeeded := time.Duration(0), f.needsPermit(c.peer)
+		if want.PermitOnly && !permitNeeded {
 			continue
 		}
-		if rationed {
-			if wait = f.permitIn(c.peer); wait > want.PermitWithin {
-				best.opensIn(max(wait, time.Millisecond), c.peer)
+		if permitNeeded {
+			if wait = f.minPermitWait(c.peer); wait > want.MaxPermitWait {
+				best.addNotAccepting(max(wait, time.Millisecond), c.peer)
 				continue
 			}
 		}
-		if wasTried(tried, c.peer) || c.peer.lacking(now, held) {
+		if wasTried(tried, c.peer) || c.peer.lacksCopy(now, held) {
 			continue
 		}
-		look := c.peer.outlook(now)
-		cost, read := f.cost(c, &want, &look)
-		if rationed {
-			cost += permitCost + milliseconds(wait)
+		estimate := c.peer.loadEstimate(now)
+		cost, prefill := f.cost(c, &want, &estimate)
+		if permitNeeded {
+			cost += permitCostMS + milliseconds(wait)
 		}
 		seen++
 		if best.Peer == nil || cost < bestCost {
 			best.Peer, best.Verdict = c.peer, Chosen
-			best.Read, best.ReadTime = read, f.speeds.readTime(want.Model, read)
-			bestCost, bestLook = cost, look
+			best.PrefillTokens, best.PrefillTime = prefill, f.prefillSpeeds.prefillTime(want.Model, prefill)
+			bestCost, bestEstimate = cost, estimate
 		}
 	}
-	if best.Peer == nil && best.OpensIn > 0 {
-		best.Verdict = BackedOff
+	if best.Peer == nil && best.AcceptsIn > 0 {
+		best.Verdict = NotAccepting
 		return best
 	}
 	if best.Peer == nil {
-		best.Verdict = f.verdict(want, tried)
+		best.Verdict = f.emptyVerdict(want, tried)
 		return best
 	}
-	best.Unread = bestLook.unread
-	best.PieceTime = f.speeds.readTime(want.Model, pieceTokens)
-	best.Others = seen - 1
-	best.Reason = fmt.Sprintf("cost %.0f ms of %d candidates, running %d waiting %d of %d, %d ms of prompts unread, load %d ms old", bestCost, seen, bestLook.running, bestLook.waiting, bestLook.slots, bestLook.unread.Milliseconds(), bestLook.loadAge.Milliseconds())
+	best.Backlog = bestEstimate.backlog
+	best.ChunkTime = f.prefillSpeeds.prefillTime(want.Model, prefillChunkTokens)
+	best.Alternatives = seen - 1
+	best.Reason = fmt.Sprintf("cost %.0f ms of %d candidates, running %d waiting %d of %d, %d ms of prompts unread, load %d ms old", bestCost, seen, bestEstimate.running, bestEstimate.waiting, bestEstimate.slots, bestEstimate.backlog.Milliseconds(), bestEstimate.loadAge.Milliseconds())
 	return best
 }
 
-// opensIn counts a replica that takes no requests, and does after a time if that is not 0.
-func (c *Choice) opensIn(wait time.Duration, peer *Peer) {
+// addNotAccepting counts a replica that accepts no requests for the given time. A time of 0 means
+// that it never accepts again; such a replica is not counted.
+func (c *Choice) addNotAccepting(wait time.Duration, peer *Peer) {
 	if wait == 0 {
 		return
 	}
-	if c.OpensIn == 0 || wait < c.OpensIn {
-		c.OpensIn = wait
+	if c.AcceptsIn == 0 || wait < c.AcceptsIn {
+		c.AcceptsIn = wait
 	}
-	c.Places += peer.slots()
+	c.Slots += peer.slots()
 }
 
-// verdict says why there is no choice: no replica of the service is left, or none that
-// is holds the copy.
-func (f *Fleet) verdict(want Want, tried []*Peer) Verdict {
-	for _, c := range f.index.of(want.Service, copyKey{}) {
-		if want.Model != "" && !wasTried(tried, c.peer) && f.resides(&want, c.zone) {
-			return Missing
+// emptyVerdict returns why no replica was chosen: either no untried replica of the service is left,
+// or none of those left holds the model or adapter.
+func (f *Fleet) emptyVerdict(want Requirements, tried []*Peer) Verdict {
+	for _, c := range f.index.lookup(want.Service, copyKey{}) {
+		if want.Model != "" && !wasTried(tried, c.peer) && f.residencyAllows(&want, c.zone) {
+			return ModelMissing
 		}
 	}
-	return None
+	return NoReplica
 }
 
 func wasTried(tried []*Peer, p *Peer) bool {
@@ -179,31 +182,31 @@
 	return false
 }
 
-// cost estimates the time to the first byte, in milliseconds, and returns the
-// prompt tokens that the replica has to read.
-func (f *Fleet) cost(c *candidate, want *Want, look *outlook) (float64, int) {
-	cost := rand.Float64()*jitter + look.failing*failingCost
+// cost estimates the time to the first byte in milliseconds. It also returns the number of prompt
+// tokens that the replica has to prefill.
+func (f *Fleet) cost(c *candidate, want *Requirements, estimate *loadEstimate) (float64, int) {
+	cost := rand.Float64()*jitterMS + estimate.failureShare*failureCostMS
 	if c.zone != f.zone {
-		cost += farCost
+		cost += crossZoneCostMS
 	}
-	if look.ejected {
-		cost += failingCost
+	if estimate.ejected {
+		cost += failureCostMS
 	}
 	if want.Model == "" {
-		taken := float64(look.running+look.waiting) / float64(look.slots)
-		cost += taken * slotCost
-		if taken >= 1 {
-			cost += taken * fullCost
+		usage := float64(estimate.running+estimate.waiting) / float64(estimate.slots)
+		cost += usage * slotUseCostMS
+		if usage >= 1 {
+			cost += usage * fullCostMS
 		}
 		return cost, 0
 	}
 	c.peer.mu.Lock()
 	cached := c.peer.parts.cached(want.Model, want.Parts)
 	c.peer.mu.Unlock()
-	read := max(want.Prompt-cached, 0)
-	cost += milliseconds(f.speeds.readTime(want.Model, read) + look.unread)
-	cost += float64(look.running)*runningCost + float64(look.waiting)*waitingCost
-	return cost, read
+	prefill := max(want.PromptLength-cached, 0)
+	cost += milliseconds(f.prefillSpeeds.prefillTime(want.Model, prefill) + estimate.backlog)
+	cost += float64(estimate.running)*runningCostMS + float64(estimate.waiting)*waitingCostMS
+	return cost, prefill
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/src/exchange/choose.go
+++ b/src/exchange/choose.go
@@ -8,112 +8,113 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// choose picks a replica; it waits a while for a copy that is not there yet, or for a replica that
-// wants nothing now.
+// choose picks a replica. It waits for a limited time if the model is not loaded yet or if no
+// replica accepts requests now.
 func (c *call) choose(ctx context.Context) Choice {
-	defer c.leaveLine()
-	want := c.want()
+	defer c.leaveQueue()
+	requirements := c.requirements()
 	h := c.handler
-	asked := false
-	if now := h.options.Now(); c.wantsPlace(now) {
-		if choice, found := c.rationed(ctx, now, want); found {
+	demandCounted := false
+	if now := h.options.Now(); c.needsAssignedSlot(now) {
+		if choice, found := c.pickWithPermit(ctx, now, requirements); found {
 			return choice
 		}
-		if choice, known := c.assigned(ctx, now); known {
+		if choice, known := c.assignSlot(ctx, now); known {
 			return choice
 		}
 	}
 	for {
 		now := h.options.Now()
-		want.PermitWithin = c.permitWithin(now)
-		choice := h.options.Fleet.Pick(now, want, c.tried)
-		if choice.Verdict == Chosen && c.behind(now) {
-			choice = Choice{Verdict: BackedOff, Places: choice.Peer.slots(), OpensIn: time.Millisecond}
+		requirements.MaxPermitWait = c.maxPermitWait(now)
+		choice := h.options.Fleet.Pick(now, requirements, c.tried)
+		if choice.Verdict == Chosen && c.mustQueue(now) {
+			choice = Choice{Verdict: NotAccepting, Slots: choice.Peer.slots(), AcceptsIn: time.Millisecond}
 		}
-		if choice.Verdict == BackedOff {
-			if c.standInLine(ctx, now, choice) {
+		if choice.Verdict == NotAccepting {
+			if c.waitInQueue(ctx, now, choice) {
 				continue
 			}
 			return choice
 		}
-		if choice.Verdict == Chosen && c.tooFull(now, choice) {
-			// Up to half as long again: those that are refused together must not come back so.
-			c.retryIn = choice.Unread + time.Duration(rand.Float64()*float64(choice.Unread)/2)
-			choice.Verdict = Unread
+		if choice.Verdict == Chosen && c.backlogTooLong(now, choice) {
+			// Add up to half of the backlog at random, so that clients refused together do not
+			// return together.
+			c.retryIn = choice.Backlog + time.Duration(rand.Float64()*float64(choice.Backlog)/2)
+			choice.Verdict = Backlog
 			return choice
 		}
-		if choice.Verdict == Chosen && c.paced(now, choice) {
-			if !sleep(ctx, paceStep) {
+		if choice.Verdict == Chosen && c.mustPace(now, choice) {
+			if !sleep(ctx, paceInterval) {
 				return choice
 			}
 			continue
 		}
-		if choice.Verdict == Chosen && !c.permitted(ctx, choice.Peer, want.PermitWithin) {
+		if choice.Verdict == Chosen && !c.permitted(ctx, choice.Peer, requirements.MaxPermitWait) {
 			continue
 		}
 		if choice.Verdict == Chosen || len(c.tried) > 0 {
 			return choice
 		}
-		if !c.waitsOn(now, want, choice) {
+		if !c.keepsWaiting(now, requirements, choice) {
 			return choice
 		}
-		if choice.Verdict == Missing && !asked {
+		if choice.Verdict == ModelMissing && !demandCounted {
 			h.options.Demand.Ask(c.service, c.facts, true)
-			asked = true
+			demandCounted = true
 		}
 		select {
 		case <-ctx.Done():
 			return choice
-		case <-time.After(missingPoll):
+		case <-time.After(replicaPollInterval):
 		}
 	}
 }
 
-// waitsOn reports whether a request that found no replica looks for one again.
-func (c *call) waitsOn(now time.Time, want Want, choice Choice) bool {
+// keepsWaiting reports whether a request without a replica should look for one again.
+func (c *call) keepsWaiting(now time.Time, want Requirements, choice Choice) bool {
 	switch {
-	case now.Before(c.began.Add(c.patience(now, choice.Verdict))):
+	case now.Before(c.startedAt.Add(c.maxReplicaWait(now, choice.Verdict))):
 		return true
-	case choice.Verdict != Missing:
+	case choice.Verdict != ModelMissing:
 		return false
-	case c.outwaits(now):
+	case c.waitsForCopy(now):
 		return true
 	}
-	// The copy may have come between the look for it and the question whether it is coming.
-	return c.handler.options.Fleet.Pick(now, want, c.tried).Verdict != Missing
+	// The model may have been loaded between the choice and the check whether it is being loaded.
+	return c.handler.options.Fleet.Pick(now, want, c.tried).Verdict != ModelMissing
 }
 
-// beginsWithin is within how many of its targets a request's first event has to be expected
-// for it to be sent. An answer that is somewhat late is worth half to its caller, one that
-// comes after four targets nothing: it has left. On the users' shifted work, one run each,
-// 1.0 had as many served as no bound, with more of them in time and more refused twice.
-const beginsWithin = 2.0
+// maxFirstEventTargets is the longest expected time to the first event with which a request is
+// still sent, as a multiple of the route's target. A slightly late response is worth half to the
+// client; one later than four targets is worth nothing, since the client has left by then. Under a
+// shifted load, a limit of 1.0 served as many requests as no limit; more of them were in time, and
+// more were refused twice.
+const maxFirstEventTargets = 2.0
 
-// tooFull reports whether even the best replica has so much to read that the request would
-// be far too late. Sent there, it would make all that come after it late too, and most such
-// prompts ended unread.
-func (c *call) tooFull(now time.Time, choice Choice) bool {
+// backlogTooLong reports whether even the best replica has so much to prefill that the request
+// would be far too late. Sending it anyway would delay all later requests as well, and most such
+// prompts would be cancelled before they were read.
+func (c *call) backlogTooLong(now time.Time, choice Choice) bool {
 	if c.facts.Model == "" || len(c.tried) > 0 {
 		return false
 	}
-	left := time.Duration(float64(c.route.Target)*beginsWithin) - now.Sub(c.began)
-	return choice.Unread > 0 && choice.Unread+choice.ReadTime > left
+	left := time.Duration(float64(c.route.Target)*maxFirstEventTargets) - now.Sub(c.startedAt)
+	return choice.Backlog > 0 && choice.Backlog+choice.PrefillTime > left
 }
 
-// patience is how long a request without a replica waits for one: for a copy that
-// may be on its way, and for replicas that this gateway has not had the time to
-// learn of.
-func (c *call) patience(now time.Time, verdict Verdict) time.Duration {
+// maxReplicaWait returns how long a request waits for a replica: for a model that may be loading,
+// or for replicas that this gateway has not discovered yet.
+func (c *call) maxReplicaWait(now time.Time, verdict Verdict) time.Duration {
 	share := 0.0
-	if verdict == Missing {
-		share = missingShare
+	if verdict == ModelMissing {
+		share = maxCopyWaitShare
 	}
-	if c.handler.options.Fleet.Gathering(now) {
-		share = gatheringShare
+	if c.handler.options.Fleet.Discovering(now) {
+		share = maxDiscoveryWaitShare
 	}
 	return time.Duration(float64(c.route.Target) * share)
 }
 
-func (c *call) want() Want {
-	return Want{Service: c.service, Model: c.facts.Model, Adapter: c.facts.Adapter, Prompt: c.facts.PromptTokens, Parts: c.facts.Parts, Residency: catalog.ResidencyOf(c.route, c.account)}
+func (c *call) requirements() Requirements {
+	return Requirements{Service: c.service, Model: c.facts.Model, Adapter: c.facts.Adapter, PromptLength: c.facts.PromptTokens, Parts: c.facts.Parts, Residency: catalog.ResidencyOf(c.route, c.account)}
 }
--- a/src/exchange/cold.go
+++ b/src/exchange/cold.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// longestCold bounds for how long a replica's word that it is cold is kept.
-	longestCold = 10 * time.Minute
-	// refillTime is how long the replicas of a zone whose drain has ended count as cold: they may
-	// have become so shortly before, and tell it with their next heartbeat, two of which come in
-	// this time. The zone fills without a burst.
-	refillTime = 3 * time.Second
+	// maxColdTime limits how long a replica counts as cold after it said so.
+	maxColdTime = 10 * time.Minute
+	// coldAfterDrain is how long the replicas of a zone count as cold after its drain has ended, so
+	// that the zone does not receive a burst. They may have become cold shortly before, which they
+	// report with their next heartbeat; two heartbeats arrive in this time.
+	coldAfterDrain = 3 * time.Second
 )
 
-// boundCold takes in which services bound the requests that a cold replica gets.
-func (f *Fleet) boundCold(table *catalog.Table) {
-	bounded := map[string]float64{}
+// setColdRates sets the request rates of cold replicas for the services that limit them.
+func (f *Fleet) setColdRates(table *catalog.Table) {
+	coldRates := map[string]float64{}
 	for i := range table.Document().Services {
 		if service := &table.Document().Services[i]; service.ColdRate > 0 {
-			bounded[service.Name] = service.ColdRate
+			coldRates[service.Name] = service.ColdRate
 		}
 	}
-	f.bounded.Store(&bounded)
+	f.coldRates.Store(&coldRates)
 }
 
-// chill takes in that a replica is cold for a while, by the clock that counts suspensions. A time
-// that was told is never shortened: the words of one replica come on several ways.
-func (p *Peer) chill(now time.Time, left time.Duration) {
-	until := now.Add(min(left, longestCold)).UnixNano()
+// markCold marks a replica as cold for the remaining time, on the clock that counts while the host
+// is suspended. It never shortens the time, since reports of one replica arrive over several paths.
+func (p *Peer) markCold(now time.Time, remaining time.Duration) {
+	until := now.Add(min(remaining, maxColdTime)).UnixNano()
 	for {
 		known := p.coldUntil.Load()
 		if until <= known || p.coldUntil.CompareAndSwap(known, until) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// cold reports whether a replica is cold and its service bounds what it gets then.
-func (f *Fleet) cold(peer *Peer) bool {
+// isCold reports whether a replica is cold and its service has a cold rate.
+func (f *Fleet) isCold(peer *Peer) bool {
 	until := peer.coldUntil.Load()
 	if until == 0 || f.bootNow().UnixNano() >= until {
 		return false
@@ -48,35 +48,36 @@
 	return f.coldRate(peer.service) > 0
 }
 
-// coldRate is how many requests a second a cold replica of a service bears, 0 if nothing bounds that.
+// coldRate returns the number of requests per second that a cold replica of a service can take, 0
+// if that is not limited.
 func (f *Fleet) coldRate(service string) float64 {
-	bounded := f.bounded.Load()
-	if bounded == nil {
+	coldRates := f.coldRates.Load()
+	if coldRates == nil {
 		return 0
 	}
-	return (*bounded)[service]
+	return (*coldRates)[service]
 }
 
-// Cold returns how many replicas get requests with permits only.
+// Cold returns the number of cold replicas that need permits.
 func (f *Fleet) Cold() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
 	for _, peer := range f.peers {
-		if f.cold(peer) {
+		if f.isCold(peer) {
 			count++
 		}
 	}
 	return count
 }
 
-// refill lets the replicas of zones whose drain has ended count as cold for a while.
-func (f *Fleet) refill(before, after *wire.ZoneDrains) {
+// markReopenedCold marks the replicas of zones whose drain has ended as cold for a while.
+func (f *Fleet) markReopenedCold(before, after *wire.ZoneDrains) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, peer := range f.peers {
 		if zone := peer.zone(); before.Drained(zone) && !after.Drained(zone) {
-			peer.chill(f.bootNow(), refillTime)
+			peer.markCold(f.bootNow(), coldAfterDrain)
 		}
 	}
 }
--- a/src/exchange/cold_test.go
+++ b/src/exchange/cold_test.go
@@ -70,9 +70,9 @@
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	is.True(wait >= 30)
-	choice := b.fleet.Pick(time.Now(), Want{Service: "s", PermitWithin: ratelimit.Ahead}, nil)
-	is.Equal(choice.Verdict, BackedOff) // it is not held for what won't come
-	is.True(choice.OpensIn > ratelimit.Ahead)
+	choice := b.fleet.Pick(time.Now(), Requirements{Service: "s", MaxPermitWait: ratelimit.Ahead}, nil)
+	is.Equal(choice.Verdict, NotAccepting) // it is not held for what won't come
+	is.True(choice.AcceptsIn > ratelimit.Ahead)
 	is.Equal(cold.count(), 0)
 }
 
@@ -97,10 +97,10 @@
 	b, cold := coldBench(t, func(wire.PermitRequest) (wire.PermitReply, error) { return wire.PermitReply{}, nil })
 	peer := b.fleet.Peer("x")
 	c := &call{handler: b.handler, sendPermit: sendPermit{peer: peer, until: b.fleet.bootNow().Add(time.Minute)}}
-	is.True(c.spendsPermit(peer))
-	is.True(!c.spendsPermit(peer))
+	is.True(c.usePermit(peer))
+	is.True(!c.usePermit(peer))
 	c.sendPermit = sendPermit{peer: newPeer(peer.record, nil), until: b.fleet.bootNow().Add(time.Minute)}
-	is.True(!c.spendsPermit(peer))
+	is.True(!c.usePermit(peer))
 	is.Equal(cold.count(), 0)
 }
 
@@ -113,12 +113,12 @@
 	b := newBench(t, route(catalog.Safe, 2), x)
 	b.stopClock()
 	b.fleet.SetDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"drained"}})
-	is.True(!b.fleet.takes(b.fleet.Peer("x")))
+	is.True(!b.fleet.acceptsWithoutPermit(b.fleet.Peer("x")))
 	b.fleet.SetDrains(&wire.ZoneDrains{Revision: 2})
-	is.True(b.fleet.cold(b.fleet.Peer("x")))
+	is.True(b.fleet.isCold(b.fleet.Peer("x")))
 	is.Equal(b.do("POST", "early", "x").status, http.StatusServiceUnavailable)
 	clock := b.fleet.bootNow
-	b.fleet.bootNow = func() time.Time { return clock().Add(refillTime) }
+	b.fleet.bootNow = func() time.Time { return clock().Add(coldAfterDrain) }
 	is.Equal(b.do("POST", "later", "x").status, http.StatusOK)
 	is.Equal(x.count(), 1)
 }
--- a/src/exchange/coming_test.go
+++ b/src/exchange/coming_test.go
@@ -24,7 +24,7 @@
 	r.Target, r.Timeout = 4*time.Second, 30*time.Second
 	x := newReplica(t, "x", whole)
 	b := newBench(t, r, x)
-	b.fleet.begunAt.Store(1)
+	b.fleet.firstReplicaAt.Store(1)
 	is.Equal(b.do("POST", "none", "x", testModel+": n").status, http.StatusServiceUnavailable)
 	b.coming(1, "n", 1200*time.Millisecond)
 	time.AfterFunc(1200*time.Millisecond, func() {
@@ -42,18 +42,18 @@
 func TestACopyThatComesBetweenTheTwoLooksIsUsed(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, route(catalog.Safe, 1), newReplica(t, "x", whole))
-	b.fleet.begunAt.Store(1)
+	b.fleet.firstReplicaAt.Store(1)
 	now := time.Now()
 	r := route(catalog.Safe, 1)
-	request := &call{handler: b.handler, route: &r, service: "s", facts: Facts{Model: "n"}, began: now.Add(-time.Second), deadline: now.Add(10 * time.Second)}
+	request := &call{handler: b.handler, route: &r, service: "s", facts: Facts{Model: "n"}, startedAt: now.Add(-time.Second), deadline: now.Add(10 * time.Second)}
 	b.coming(1, "n", time.Millisecond)
-	looked := b.fleet.Pick(now, request.want(), nil)
-	is.Equal(looked.Verdict, Missing)
-	is.True(request.waitsOn(now, request.want(), looked))
+	looked := b.fleet.Pick(now, request.requirements(), nil)
+	is.Equal(looked.Verdict, ModelMissing)
+	is.True(request.keepsWaiting(now, request.requirements(), looked))
 	b.fleet.SetHoldings(&wire.Holdings{Term: 1, Version: 2, Copies: []wire.Holding{{Replica: "x", Model: "n"}}})
-	is.True(request.waitsOn(now, request.want(), looked))
+	is.True(request.keepsWaiting(now, request.requirements(), looked))
 	b.fleet.SetHoldings(&wire.Holdings{Term: 1, Version: 3})
-	is.True(!request.waitsOn(now, request.want(), looked))
+	is.True(!request.keepsWaiting(now, request.requirements(), looked))
 }
 
 // TestWhatIsWorthWaitingFor: a copy that serves before the client's deadline and before it leaves; a
@@ -89,8 +89,8 @@
 			if c.target > 0 {
 				route.Target = c.target
 			}
-			request := &call{handler: b.handler, route: &route, service: "s", facts: Facts{Model: "n"}, began: now, deadline: now.Add(c.deadline)}
-			is.Equal(request.outwaits(now), c.waits)
+			request := &call{handler: b.handler, route: &route, service: "s", facts: Facts{Model: "n"}, startedAt: now, deadline: now.Add(c.deadline)}
+			is.Equal(request.waitsForCopy(now), c.waits)
 			if !c.waits && !c.stopping && c.in > 0 {
 				is.True(request.retryIn >= c.in)
 			}
--- a/src/exchange/conn.go
+++ b/src/exchange/conn.go
@@ -14,37 +14,37 @@
 	"github.com/pkg/errors"
 )
 
-// The connections' times and bounds.
+// Timeouts and limits of connections.
 const (
-	// dialTimeout bounds the dials to the only replica that can be chosen, dialAttempt
-	// each of them, and the one dial where there is another choice. The kernel repeats
-	// a lost opening packet only after a second; a hundred milliseconds are many round
-	// trips within a region.
+	// dialTimeout limits all dials to a replica if no other can be chosen. dialAttempt limits each
+	// of them, and the only dial if there is another choice. The kernel repeats a lost SYN packet
+	// only after a second; a hundred milliseconds are many round trips within a region.
 	dialTimeout = 400 * time.Millisecond
 	dialAttempt = 100 * time.Millisecond
-	// idleLimit is how long a connection is kept for reuse when the replica names no time.
-	idleLimit = 10 * time.Second
-	// idleMargin keeps clear of the moment at which the replica closes.
+	// defaultIdleTime is how long an idle connection is kept if the replica names no time.
+	defaultIdleTime = 10 * time.Second
+	// idleMargin is subtracted from the time that the replica names, so that a connection is not
+	// used while the replica closes it.
 	idleMargin = time.Second
-	// maxIdle bounds the kept connections to one replica.
-	maxIdle = 32
-	// readBuffer is the size of a connection's read buffer.
-	readBuffer = 4096
+	// maxIdleConns is the maximum number of idle connections to one replica.
+	maxIdleConns    = 32
+	readBufferBytes = 4096
 )
 
-// conn is a connection to a replica that serves one request at a time.
+// conn is a connection to a replica. It serves one request at a time.
 type conn struct {
 	raw    net.Conn
 	reader *bufio.Reader
 	reused bool
-	// until is when the replica may close the idle connection.
-	until time.Time
-	// answered is set once a byte of the present answer has come.
+	// reusableUntil is until when the idle connection can be used. The replica may close it after
+	// that.
+	reusableUntil time.Time
+	// answered is set once a byte of the current response has arrived.
 	answered bool
 }
 
-// pool keeps idle connections to one incarnation of a replica, the latest used
-// first, so that few stay open; it is safe for concurrent use.
+// pool keeps idle connections to one incarnation of a replica. The most recently used one is taken
+// first, so that few stay open. It is safe for concurrent use.
 type pool struct {
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
@@ -53,8 +53,8 @@
 	idle   []*conn
 	closed bool
 	opened int
-	// breaks counts the connections that the other side broke, or refused.
-	breaks int
+	// brokenConns counts the connections that the replica reset or refused.
+	brokenConns int
 }
 
 func newPool(address string, dial func(ctx context.Context, address string) (net.Conn, error)) *pool {
@@ -67,44 +67,44 @@
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// get returns an idle connection that is still sound, or a new one that comes up
-// within a time. After an error not a byte was sent.
+// get returns an idle connection that is still open, or a new one that is established within the
+// given time. If it returns an error, no byte was sent.
 func (p *pool) get(ctx context.Context, within time.Duration, now time.Time) (*conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
 			break
 		}
-		if now.Before(c.until) && quiet(c) {
+		if now.Before(c.reusableUntil) && openAndSilent(c) {
 			c.reused = true
 			c.answered = false
 			return c, nil
 		}
-		if now.Before(c.until) {
-			p.broke()
+		if now.Before(c.reusableUntil) {
+			p.connectionBroke()
 		}
 		_ = c.raw.Close()
 	}
 	raw, err := p.connect(ctx, within)
 	if err != nil {
-		p.broke()
+		p.connectionBroke()
 		return nil, errors.Wrap(err, "connecting")
 	}
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &conn{raw: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// connect dials until a connection is up, one is refused, or the time is over.
+// connect dials until a connection is established, one is refused, or the time is over.
 func (p *pool) connect(ctx context.Context, within time.Duration) (net.Conn, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, min(within, dialAttempt))
 		raw, err := p.dial(attempt, p.address)
-		silent := attempt.Err() != nil
+		timedOut := attempt.Err() != nil
 		cancel()
 		within -= dialAttempt
-		if err == nil || !silent || within <= 0 || ctx.Err() != nil {
+		if err == nil || !timedOut || within <= 0 || ctx.Err() != nil {
 			return raw, err
 		}
 	}
@@ -122,65 +122,65 @@
 	return c
 }
 
-// put keeps a connection whose last answer is whole and that says nothing more.
+// put keeps a connection whose last response was read completely.
 func (p *pool) put(now time.Time, c *conn, header http.Header) {
-	keep := idleTime(header)
+	keep := keepAliveTime(header)
 	if keep <= 0 {
 		_ = c.raw.Close()
 		return
 	}
-	c.until = now.Add(keep)
+	c.reusableUntil = now.Add(keep)
 	p.keep(c)
 }
 
-// broke counts a connection that the other side broke, or refused.
-func (p *pool) broke() {
+// connectionBroke counts a connection that the replica reset or refused.
+func (p *pool) connectionBroke() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.breaks++
+	p.brokenConns++
 }
 
-// lookForBreaks counts a break if an idle connection was broken; it returns how many breaks there
-// were, and whether an idle connection still stands.
-func (p *pool) lookForBreaks() (breaks int, stands bool) {
+// checkIdle counts a broken connection if one of the idle connections is broken. It returns the
+// number of broken connections so far and whether an idle connection is still open.
+func (p *pool) checkIdle() (brokenConns int, connected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
-		if !quiet(c) {
-			p.breaks++
-			return p.breaks, false
+		if !openAndSilent(c) {
+			p.brokenConns++
+			return p.brokenConns, false
 		}
-		stands = true
+		connected = true
 	}
-	return p.breaks, stands
+	return p.brokenConns, connected
 }
 
-// giveBack keeps a connection on which nothing was sent.
-func (p *pool) giveBack(now time.Time, c *conn) {
+// putUnused keeps a connection on which nothing was sent.
+func (p *pool) putUnused(now time.Time, c *conn) {
 	if !c.reused {
-		c.until = now.Add(idleMargin)
+		c.reusableUntil = now.Add(idleMargin)
 	}
 	p.keep(c)
 }
 
-// keep keeps an idle connection.
+// keep adds an idle connection to the pool.
 func (p *pool) keep(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle) >= maxIdle {
+	if p.closed || len(p.idle) >= maxIdleConns {
 		_ = c.raw.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// expire closes the connections whose time is over.
+// expire closes idle connections that must not be used any more.
 func (p *pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.Before(c.until) {
+		if now.Before(c.reusableUntil) {
 			kept = append(kept, c)
 			continue
 		}
@@ -189,7 +189,7 @@
 	p.idle = kept
 }
 
-// close closes the idle connections and keeps none from now on.
+// close closes the idle connections. The pool keeps none from then on.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,8 +200,8 @@
 	p.idle = nil
 }
 
-// idleTime returns how long a connection may rest, by the replica's word.
-func idleTime(header http.Header) time.Duration {
+// keepAliveTime returns how long a connection may be idle according to the Keep-Alive header.
+func keepAliveTime(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -211,14 +211,14 @@
 		if err != nil {
 			return 0
 		}
-		return min(time.Duration(seconds)*time.Second-idleMargin, idleLimit)
+		return min(time.Duration(seconds)*time.Second-idleMargin, defaultIdleTime)
 	}
-	return idleLimit
+	return defaultIdleTime
 }
 
-// quiet reports whether an idle connection is open and has sent nothing: bytes
-// that come without a request belong to no request.
-func quiet(c *conn) bool {
+// openAndSilent reports whether an idle connection is open and has received nothing. Bytes that
+// arrive without a request belong to no request.
+func openAndSilent(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/src/exchange/conn_test.go
+++ b/src/exchange/conn_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	dial, count := silentDials(1)
 	only := &Choice{}
-	c, err := newPool("x", dial).get(context.Background(), only.dialWithin(), noon)
+	c, err := newPool("x", dial).get(context.Background(), only.connectTimeout(), noon)
 	is.NoErr(err)
 	is.True(c != nil)
 	is.Equal(*count, 2)
@@ -37,8 +37,8 @@
 func TestASilentReplicaIsLeftSoonWhereThereIsAnother(t *testing.T) {
 	is := is.New(t)
 	dial, count := silentDials(100)
-	one := &Choice{Others: 2}
-	_, err := newPool("x", dial).get(context.Background(), one.dialWithin(), noon)
+	one := &Choice{Alternatives: 2}
+	_, err := newPool("x", dial).get(context.Background(), one.connectTimeout(), noon)
 	is.True(errors.Is(err, context.DeadlineExceeded))
 	is.Equal(*count, 1)
 }
@@ -49,7 +49,7 @@
 	count := 0
 	dial := func(context.Context, string) (net.Conn, error) { count++; return nil, refused }
 	only := &Choice{}
-	_, err := newPool("x", dial).get(context.Background(), only.dialWithin(), noon)
+	_, err := newPool("x", dial).get(context.Background(), only.connectTimeout(), noon)
 	is.True(errors.Is(err, refused))
 	is.Equal(count, 1)
 }
--- a/src/exchange/demand.go
+++ b/src/exchange/demand.go
@@ -7,12 +7,12 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// outputWeight is how many prompt tokens one generated token costs an engine:
-// a batch's tokens are generated together, prompts are read one after the other.
-const outputWeight = 1
+// outputTokenWeight is the cost of a generated token in prompt tokens. An engine generates the
+// tokens of a batch together but reads prompts one after the other.
+const outputTokenWeight = 1
 
-// Demand counts what requests ask for, until it is reported; it is safe for
-// concurrent use.
+// Demand counts requests and tokens by model until they are reported. It is safe for concurrent
+// use.
 type Demand struct {
 	mu     sync.Mutex
 	asked  map[demandKey]*wire.Asked
@@ -26,12 +26,13 @@
 	adapter string
 }
 
-// NewDemand returns an empty count.
+// NewDemand returns an empty Demand.
 func NewDemand() *Demand {
 	return &Demand{asked: map[demandKey]*wire.Asked{}, any: wakeup.New(), urgent: wakeup.New()}
 }
 
-// Ask counts a request; missing says that it found no copy and waits for one.
+// Ask counts a request; missing means that the request found no copy of its model and waits for
+// one.
 func (d *Demand) Ask(service string, facts Facts, missing bool) {
 	if facts.Model == "" {
 		return
@@ -45,10 +46,10 @@
 		return
 	}
 	asked.Requests++
-	asked.Tokens += facts.PromptTokens + outputWeight*facts.OutputTokens
+	asked.Tokens += facts.PromptTokens + outputTokenWeight*facts.OutputTokens
 }
 
-// count returns the count for a model or adapter; the lock is held.
+// count returns the counts of a model or adapter; the lock is held.
 func (d *Demand) count(service, model, adapter string) *wire.Asked {
 	key := demandKey{service, model, adapter}
 	asked := d.asked[key]
@@ -60,7 +61,7 @@
 	return asked
 }
 
-// Add adds what others have counted.
+// Add adds the counts of other gateways.
 func (d *Demand) Add(models []wire.Asked) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,13 +77,13 @@
 	}
 }
 
-// Asked delivers when requests were counted since it last did.
+// Asked receives a value after requests were counted.
 func (d *Demand) Asked() <-chan struct{} { return d.any.Raised() }
 
-// Urgent delivers when a request found no copy.
+// Urgent receives a value after a request found no copy of its model.
 func (d *Demand) Urgent() <-chan struct{} { return d.urgent.Raised() }
 
-// Drain returns the count and begins anew.
+// Drain returns and resets the counts.
 func (d *Demand) Drain() []wire.Asked {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/src/exchange/doc.go
+++ b/src/exchange/doc.go
@@ -1,12 +1,12 @@
-// Package exchange takes one request from a client to a replica and its answer
-// back. It routes by the catalogue, chooses a replica, bounds attempts by what
-// may be repeated, passes bodies and event streams on unchanged, and ends every
-// request with an answer whose status follows from what became of it.
+// Package exchange sends client requests to replicas and returns their responses. It selects a
+// service by the route, chooses a replica, limits retries to what the route allows, passes bodies
+// and event streams on unchanged, and ends every request with a response whose status states what
+// is known of its execution.
 //
-//	client ──▶ Handler ──▶ Fleet.Pick ──▶ Pool ──▶ replica
+//	client ──▶ Handler ──▶ Fleet.Pick ──▶ pool ──▶ replica
 //	             │ route, facts, deadline    │ connection
-//	             ◀── answer or refusal ◀─────┘ outcome: answered, not run, unknown
+//	             ◀── response or refusal ◀───┘ outcome: answered, not run, unknown
 //
-// What clients and replicas write in headers is a Codec's matter; two
-// interfaces can fill the same loop.
+// A Codec reads and writes the headers of clients and replicas, so that different interfaces can
+// use the same handler.
 package exchange
--- a/src/exchange/drained.go
+++ b/src/exchange/drain.go
@@ -8,12 +8,13 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// SetDrains takes in the zones whose replicas get nothing new by operators' orders. What runs there
-// goes on. Each way to a replica asks for it where it asks for the replica's own words, last right
-// before the first byte of a request.
+// SetDrains sets the zones that operators have drained. Their replicas get no new requests; running
+// requests continue. The drain is checked wherever a replica's own state is, last right before the
+// first byte of a request.
 func (f *Fleet) SetDrains(drains *wire.ZoneDrains) {
-	// Before the zone is open again: nothing may be sent there in between.
-	f.refill(f.drains.Load(), drains)
+	// Mark the replicas as cold before the zone is open again, so that no request is sent in
+	// between.
+	f.markReopenedCold(f.drains.Load(), drains)
 	if len(drains.Zones) == 0 {
 		f.drains.Store(nil)
 	} else {
@@ -22,7 +23,7 @@
 	f.ring.Add(event.Event{Kind: event.ZonesDrained, Reason: fmt.Sprintf("order %d; drained: %s", drains.Revision, strings.Join(drains.Zones, " "))})
 }
 
-// DrainedZones returns how many zones get nothing new.
+// DrainedZones returns the number of drained zones.
 func (f *Fleet) DrainedZones() int {
 	drains := f.drains.Load()
 	if drains == nil {
@@ -31,7 +32,7 @@
 	return len(drains.Zones)
 }
 
-// drained reports whether a replica's zone gets nothing new.
+// drained reports whether a replica's zone is drained.
 func (f *Fleet) drained(peer *Peer) bool {
 	drains := f.drains.Load()
 	return drains != nil && drains.Drained(peer.zone())
--- a/src/exchange/ending_test.go
+++ b/src/exchange/ending_test.go
@@ -12,12 +12,12 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// endingsTest is endings on a clock of the test's, with what dials find, and what they tell.
-type endingsTest struct {
-	endings *endings
-	now     time.Time
-	found   reach
-	told    []toldEnd
+// crashTest is endings on a clock of the test's, with what dials find, and what they tell.
+type crashTest struct {
+	crashDetector *crashDetector
+	now           time.Time
+	found         dialResult
+	told          []toldEnd
 }
 
 type toldEnd struct {
@@ -25,18 +25,18 @@
 	under []quarantine.Digest
 }
 
-func newEndingsTest() *endingsTest {
-	e := &endingsTest{now: time.Unix(1_800_000_000, 0)}
-	e.endings = newEndings(func() time.Time { return e.now }, func(_ time.Time, life string, under []quarantine.Digest, _ string) {
+func newEndingsTest() *crashTest {
+	e := &crashTest{now: time.Unix(1_800_000_000, 0)}
+	e.crashDetector = newCrashDetector(func() time.Time { return e.now }, func(_ time.Time, life string, under []quarantine.Digest, _ string) {
 		e.told = append(e.told, toldEnd{life: life, under: under})
 	})
-	e.endings.reach = func(context.Context, *Peer) reach { return e.found }
+	e.crashDetector.dialResult = func(context.Context, *Peer) dialResult { return e.found }
 	return e
 }
 
-// broke breaks a connection and waits for the dial.
-func (e *endingsTest) broke(peer *Peer, digest quarantine.Digest) {
-	<-e.endings.broke(e.now, peer, digest)
+// connectionBroke breaks a connection and waits for the dial.
+func (e *crashTest) connectionBroke(peer *Peer, digest quarantine.Digest) {
+	<-e.crashDetector.connectionBroke(e.now, peer, digest)
 }
 
 func endingPeer(id string) *Peer {
@@ -54,14 +54,14 @@
 	is := is.New(t)
 	e := newEndingsTest()
 	peer := endingPeer("a@7")
-	e.endings.left(e.now, peer, secondContent)
-	e.found = refused
-	e.broke(peer, firstContent)
+	e.crashDetector.clientLeft(e.now, peer, secondContent)
+	e.found = dialRefused
+	e.connectionBroke(peer, firstContent)
 	is.Equal(len(e.told), 1)
 	is.Equal(e.told[0].life, "a@7")
 	is.Equal(e.told[0].under, []quarantine.Digest{secondContent, firstContent})
 	third := quarantine.Content{Target: "/third"}.Digest()
-	e.broke(peer, third) // its connection was the last to be seen broken
+	e.connectionBroke(peer, third) // its connection was the last to be seen broken
 	is.Equal(len(e.told), 2)
 	is.Equal(e.told[1].under, []quarantine.Digest{third})
 }
@@ -71,15 +71,15 @@
 func TestABrokenConnectionAloneProvesNothing(t *testing.T) {
 	is := is.New(t)
 	e := newEndingsTest()
-	e.found = accepted
+	e.found = dialAccepted
 	peer := endingPeer("a")
-	e.broke(peer, firstContent)
-	e.now = e.now.Add(suspectFor + time.Second)
-	e.endings.prove(e.now, "a", "later") // too late to say anything of that request
+	e.connectionBroke(peer, firstContent)
+	e.now = e.now.Add(suspectTTL + time.Second)
+	e.crashDetector.confirm(e.now, "a", "later") // too late to say anything of that request
 	leaving := endingPeer("b")
 	leaving.record.Draining = true
-	e.found = refused
-	e.broke(leaving, firstContent)
+	e.found = dialRefused
+	e.connectionBroke(leaving, firstContent)
 	is.Equal(len(e.told), 0)
 }
 
@@ -88,17 +88,17 @@
 func TestAnUnreachableReplicaIsProvedByItsNextStart(t *testing.T) {
 	is := is.New(t)
 	e := newEndingsTest()
-	e.found = silent
+	e.found = dialTimedOut
 	peer := endingPeer("a@7")
-	e.broke(peer, firstContent)
+	e.connectionBroke(peer, firstContent)
 	is.Equal(len(e.told), 0)
-	e.now = e.now.Add(unreachableFor - time.Second)
-	e.endings.prove(e.now, "a@7", "it started again")
+	e.now = e.now.Add(unreachableSuspectTTL - time.Second)
+	e.crashDetector.confirm(e.now, "a@7", "it started again")
 	is.Equal(len(e.told), 1)
 	is.Equal(e.told[0].under, []quarantine.Digest{firstContent})
-	e.now = e.now.Add(unreachableFor + time.Second)
-	e.endings.sweep(e.now)
-	is.Equal(len(e.endings.open), 0)
+	e.now = e.now.Add(unreachableSuspectTTL + time.Second)
+	e.crashDetector.expire(e.now)
+	is.Equal(len(e.crashDetector.candidates), 0)
 }
 
 // TestTheControlNodesWordOnANextStartIsAWitness: what the fleet learns reaches the endings.
@@ -106,7 +106,7 @@
 	is := is.New(t)
 	fleet := NewFleet("z", nil, nil, time.Now, time.Now)
 	var ended []string
-	fleet.onEnd(func(_ time.Time, life, _ string) { ended = append(ended, life) })
+	fleet.setCrashHandler(func(_ time.Time, life, _ string) { ended = append(ended, life) })
 	record := registry.Record{ID: "a@7", Name: "a", Born: 7, Service: "s", Address: "192.0.2.1:1", Zone: "z"}
 	fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: record}}})
 	record.Sequence = 5
@@ -138,7 +138,7 @@
 			})
 			b := newBench(t, route(way.kind, 1), f)
 			told := make(chan []quarantine.Digest, 4)
-			b.handler.endings.ended = func(_ time.Time, _ string, under []quarantine.Digest, _ string) { told <- under }
+			b.handler.crashDetector.onCrash = func(_ time.Time, _ string, under []quarantine.Digest, _ string) { told <- under }
 			b.do("POST", "one", "body")
 			is.Equal(<-told, []quarantine.Digest{quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte("body")}.Digest()})
 		})
@@ -154,12 +154,12 @@
 	defer close(hold)
 	b := newBench(t, route(catalog.Unsafe, 1), f)
 	looked := make(chan struct{}, 4)
-	b.handler.endings.reach = func(context.Context, *Peer) reach {
+	b.handler.crashDetector.dialResult = func(context.Context, *Peer) dialResult {
 		looked <- struct{}{}
-		return silent
+		return dialTimedOut
 	}
 	told := make(chan []quarantine.Digest, 4)
-	b.handler.endings.ended = func(_ time.Time, _ string, under []quarantine.Digest, _ string) { told <- under }
+	b.handler.crashDetector.onCrash = func(_ time.Time, _ string, under []quarantine.Digest, _ string) { told <- under }
 	is.Equal(b.do("POST", "one", "body", testDeadline+": 60").status, 504)
 	<-looked
 	record := registry.Record{ID: "a", Service: "s", Address: f.listener.Addr().String(), Zone: "z"}
--- a/src/exchange/explain_test.go
+++ b/src/exchange/explain_test.go
@@ -99,7 +99,7 @@
 			return whole(a)
 		}))
 		text := b.logged()
-		b.fleet.peers["a"].told(time.Now(), Load{Known: true, Running: 9, Waiting: 3, Slots: 4})
+		b.fleet.peers["a"].updateLoad(time.Now(), Load{Known: true, Running: 9, Waiting: 3, Slots: 4})
 		is.Equal(b.do("POST", "q3", "x").status, 200)
 		lines := explained(t, text, "q3")
 		is.True(strings.Contains(lines, "event=704"))
--- a/src/exchange/facts.go
+++ b/src/exchange/facts.go
@@ -13,43 +13,43 @@
 	Tokens int
 }
 
-// Facts are what a request says of itself, whatever interface it came by.
+// Facts are the properties of a request, independent of the interface by which it arrived.
 type Facts struct {
-	// ID is the client's name for this attempt.
+	// ID is the client's ID of this attempt.
 	ID      string
 	Model   string
 	Adapter string
-	// PromptTokens and OutputTokens are the prompt's length and the most that may come out.
+	// PromptTokens is the length of the prompt, OutputTokens the maximum length of the output.
 	PromptTokens int
 	OutputTokens int
-	// Hint is the client's guess of the tokens that will come out, 0 if it gave none.
+	// Hint is the client's estimate of the output length in tokens, 0 if it gave none.
 	Hint  int
 	Parts []Part
 	// Deadline is how long the client waits, 0 if it did not say.
 	Deadline time.Duration
-	// ResumeAfter is the last event that the client of a stream has.
+	// ResumeAfter is the ID of the last event that the client of a resumed stream has received.
 	ResumeAfter string
-	// Key is the client account's key, "" if the request has none.
+	// Key is the key of the client account, "" if the request has none.
 	Key catalog.Key
 }
 
-// Attempt is what one replica is told beyond the client's own words.
+// Attempt is what a replica is told in addition to the client's request.
 type Attempt struct {
-	// Replica is what the replica calls itself.
+	// Replica is the replica's name for itself.
 	Replica     string
 	Remaining   time.Duration
 	Priority    int
 	ResumeAfter string
-	// Backup is the address of a replica that keeps a copy of the run, "" for none.
+	// Backup is the address of the replica that keeps a copy of the run, "" for none.
 	Backup string
-	// Continue is the address of the replica itself where the run goes on from the copy
-	// that it kept, "" for a new run.
+	// Continue is the replica's own address if it is to continue the run from the copy that it
+	// kept, "" for a new run.
 	Continue string
-	// Account is the client account's name, "" for requests without one.
+	// Account is the name of the client account, "" for requests without one.
 	Account string
 }
 
-// Load is what a replica says of its load in an answer.
+// Load is the load that a replica reports in a response.
 type Load struct {
 	Known   bool
 	Running int
@@ -57,56 +57,60 @@
 	Slots   int
 }
 
-// Reply is what a replica's answer means.
+// Reply is the decoded head of a replica's response.
 type Reply struct {
-	// ID is the request that the answer belongs to, "" if it does not say.
+	// ID is the request that the response belongs to, "" if the response does not name one.
 	ID string
-	// NotRun is the replica's word that it has not run the request and will not.
+	// NotRun is set if the replica states that it has not run the request and will not.
 	NotRun bool
-	// Elsewhere is set when another replica, or none with the model, was met.
+	// Elsewhere is set if the request reached another replica than the one addressed, or one that
+	// does not hold the model.
 	Elsewhere bool
 	Load      Load
-	// Backoff is how long the replica wants no more requests from this gateway, 0 if it did not
-	// ask for that, BackoffFault what could not be read of how long.
+	// Backoff is how long the replica wants no more requests from this gateway, 0 if it did not ask
+	// for a backoff. BackoffFault describes a backoff that could not be parsed.
 	Backoff      time.Duration
 	BackoffFault string
-	// Leaving is the replica's word that it leaves.
+	// Leaving is set if the replica is leaving.
 	Leaving bool
-	// Cold is for how much longer the replica bears few requests only, 0 if it does not say so.
+	// Cold is the remaining time for which the replica can take only few requests, 0 if the
+	// response does not say so.
 	Cold time.Duration
-	// Limit is how many requests the replica takes from all gateways together.
+	// Limit is the replica's rate limit over all gateways.
 	Limit RateLimit
-	// Unknown names what the replica says beside that and nobody here knows.
+	// Unknown lists the names of unknown statements in the response.
 	Unknown []string
 }
 
-// RateLimit is what an answer says of how many requests its replica takes from all gateways together.
+// RateLimit is a replica's rate limit over all gateways, as given in a response.
 type RateLimit struct {
-	// Named is set if the answer names a limit that can be read, of so many requests a second.
+	// Named is set if the response contains a valid limit, PerSecond is its value in requests per
+	// second.
 	Named     bool
 	PerSecond float64
-	// Fault is what could not be read of one, "" for nothing.
+	// Fault describes a limit that could not be parsed, "" if there is none.
 	Fault string
 }
 
-// Codec is one interface's manner of speaking.
+// Codec translates between this package and the headers of one interface.
 type Codec struct {
-	// Facts reads a client's request.
+	// Facts decodes a client's request.
 	Facts func(*http.Request) Facts
-	// Prepare sets an attempt's headers for the replica.
+	// Prepare sets the headers of an attempt.
 	Prepare func(header http.Header, facts Facts, attempt Attempt)
-	// Reply reads a replica's answer.
+	// Reply decodes the head of a replica's response.
 	Reply func(status int, header http.Header) Reply
-	// Replace says which headers of the client are not passed on, in canonical form:
-	// they are the system's to set, and Prepare sets those that an attempt needs.
+	// Replace lists the client headers that are not passed on, in canonical form. Only the gateway
+	// may set them, and Prepare sets those that an attempt needs.
 	Replace []string
 }
 
-// refused reports whether the replica turned the request away, and not because of what it holds.
-func (r *Reply) refused() bool { return r.NotRun && !r.Elsewhere }
+// rejected reports whether the replica rejected the request for another reason than the models that
+// it holds.
+func (r *Reply) rejected() bool { return r.NotRun && !r.Elsewhere }
 
-// asked returns what the replica asked for with its refusal, for a log line.
-func (r *Reply) asked() string {
+// describeRequests returns what the replica asked for in its rejection, for a log line.
+func (r *Reply) describeRequests() string {
 	text := ""
 	if r.Backoff > 0 {
 		text += ", nothing more for " + r.Backoff.String()
--- a/src/exchange/fleet.go
+++ b/src/exchange/fleet.go
@@ -18,106 +18,112 @@
 
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Fleet is every replica that this gateway knows; it is safe for concurrent use.
+// Fleet holds all replicas that this gateway knows. It is safe for concurrent use.
 type Fleet struct {
 	zone string
-	// regions are the regions of the availability zones, as far as they are known.
+	// regions maps availability zones to regions, as far as they are known.
 	regions map[string]string
 	dial    dialFunc
 	ring    *event.Ring
 	now     func() time.Time
-	// bootNow tells the time on a clock that counts the suspensions of this host: what replicas
-	// ask for ends for them while this host stands still.
+	// bootNow returns the time on a clock that counts while this host is suspended. A replica's
+	// backoff ends for the replica even while this host is suspended.
 	bootNow func() time.Time
 
 	mu    sync.Mutex
 	peers map[string]*Peer
-	// kept are the words of replicas that are not listed any more, by their IDs: one that is
-	// listed again is the same start and has taken nothing back.
-	kept map[string]keptIntake
-	// servers are the replicas that may get requests.
-	servers map[string]*server
-	// holdings are what the placing node knows beyond the replicas' words, by replica.
-	holdings map[string]copies
-	// coming is when the first copies of models are expected to serve that have none.
-	coming  map[indexKey]time.Time
-	index   copyIndex
-	tellers tellers
-	prompts *prompts
-	// byKey are the replicas by their keys in packed backlogs.
-	byKey  map[uint64]*Peer
-	speeds *speeds
-	// ended takes in that a replica has ended, by the control nodes' word.
-	ended func(now time.Time, replica string, witness string)
-	// sent delivers when this gateway has sent a request that the others should know of.
-	sent wakeup.Flag
-	// drains are the zones whose replicas get nothing new; nil if there is none.
+	// unlisted holds the states of replicas that are no longer listed, by ID. An ID that is listed
+	// again is the same incarnation, so its state still applies.
+	unlisted map[string]unlistedState
+	// usable holds the replicas that may get requests.
+	usable map[string]*indexedReplica
+	// placerCopies holds, by replica, the copies known to the placing node beyond those that the
+	// replicas reported.
+	placerCopies map[string]copies
+	// expectedCopies holds when the first copy of a model is expected to be loaded, for models
+	// without any copy.
+	expectedCopies map[indexKey]time.Time
+	index          copyIndex
+	loadReporters  loadReporters
+	sentPrompts    *sentPrompts
+	// byBacklogKey holds the replicas by their keys in packed backlogs.
+	byBacklogKey  map[uint64]*Peer
+	prefillSpeeds *prefillSpeeds
+	// onCrash is called when the control nodes report that a replica has ended.
+	onCrash func(now time.Time, replica string, witness string)
+	// requestSent is raised when this gateway has sent a request that the other gateways should
+	// know of.
+	requestSent wakeup.Flag
+	// drains holds the drained zones. It is nil if there are none.
 	drains atomic.Pointer[wire.ZoneDrains]
-	// bounded are the services that bound the requests that a cold replica gets, with how many a second.
-	bounded atomic.Pointer[map[string]float64]
-	// begunAt is when the first replicas were learned of, in nanoseconds; 0 before.
-	begunAt atomic.Int64
+	// coldRates holds the request rates per second of cold replicas, for the services that limit
+	// them.
+	coldRates atomic.Pointer[map[string]float64]
+	// firstReplicaAt is when the first replicas were listed, in nanoseconds; 0 before that.
+	firstReplicaAt atomic.Int64
 }
 
-// gatherTime is how long after a gateway's first replicas further ones are still to
-// be expected: control nodes that have all just started learn of each replica with
-// its next heartbeat, which comes about every 1.2 s.
-const gatherTime = 1500 * time.Millisecond
+// discoveryTime is how long after a gateway's first replicas further ones are expected. Control
+// nodes that have all just started learn of a replica with its next heartbeat, which arrives about
+// every 1.2 s.
+const discoveryTime = 1500 * time.Millisecond
 
 type copyKey struct {
 	model   string
 	adapter string
 }
 
-// copies are models and adapters; the value says whether the copy is leaving.
+// copies is a set of models and adapters. The value is set if the copy is being unloaded.
 type copies map[copyKey]bool
 
-// NewFleet returns a fleet without replicas for a gateway in an availability zone; bootNow tells
-// the time on a clock that counts the suspensions of this host.
+// NewFleet returns a fleet without replicas for a gateway in an availability zone. bootNow returns
+// the time on a clock that counts while this host is suspended.
 func NewFleet(zone string, dial dialFunc, ring *event.Ring, now, bootNow func() time.Time) *Fleet {
 	return &Fleet{
-		zone:     zone,
-		dial:     dial,
-		ring:     ring,
-		now:      now,
-		bootNow:  bootNow,
-		peers:    map[string]*Peer{},
-		kept:     map[string]keptIntake{},
-		servers:  map[string]*server{},
-		holdings: map[string]copies{},
-		prompts:  newPrompts(),
-		byKey:    map[uint64]*Peer{},
-		speeds:   newSpeeds(),
-		sent:     wakeup.New(),
-		ended:    func(time.Time, string, string) {},
+		zone:          zone,
+		dial:          dial,
+		ring:          ring,
+		now:           now,
+		bootNow:       bootNow,
+		peers:         map[string]*Peer{},
+		unlisted:      map[string]unlistedState{},
+		usable:        map[string]*indexedReplica{},
+		placerCopies:  map[string]copies{},
+		sentPrompts:   newSentPrompts(),
+		byBacklogKey:  map[uint64]*Peer{},
+		prefillSpeeds: newPrefillSpeeds(),
+		requestSent:   wakeup.New(),
+		onCrash:       func(time.Time, string, string) {},
 	}
 }
 
-// SetRegions sets the regions of the availability zones; it is called before the first replicas.
+// SetRegions sets the regions of the availability zones. It is called before the first replicas are
+// set.
 func (f *Fleet) SetRegions(regions map[string]string) { f.regions = regions }
 
-// resides reports whether a request may be served in a replica's zone. Of a zone whose region is not
-// known a request that is bound to regions keeps away.
-func (f *Fleet) resides(want *Want, zone string) bool {
+// residencyAllows reports whether a request may be served in a zone. A request that is bound to
+// regions is not served in a zone whose region is unknown.
+func (f *Fleet) residencyAllows(want *Requirements, zone string) bool {
 	return !want.Residency.Bound() || want.Residency.Allows(f.regions[zone])
 }
 
-// onEnd sets what takes in that a replica has ended; it is called before the first replicas.
-func (f *Fleet) onEnd(ended func(now time.Time, replica string, witness string)) {
-	f.ended = ended
+// setCrashHandler sets the function that is called when a replica has ended. It is called before
+// the first replicas are set.
+func (f *Fleet) setCrashHandler(onCrash func(now time.Time, replica string, witness string)) {
+	f.onCrash = onCrash
 }
 
-// SetReplicas takes in what changed of the replicas as the control nodes see them. Its
-// work grows with the changes, not with the replicas.
+// SetReplicas applies changes of the replicas as listed by the control nodes. Its cost depends on
+// the number of changes, not of replicas.
 func (f *Fleet) SetReplicas(changes registry.Changes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(changes.Entries) > 0 {
-		f.begunAt.CompareAndSwap(0, f.now().UnixNano())
+		f.firstReplicaAt.CompareAndSwap(0, f.now().UnixNano())
 	}
 	found := 0
 	for i := range changes.Entries {
-		if f.takeEntry(&changes.Entries[i]) {
+		if f.applyEntry(&changes.Entries[i]) {
 			found++
 		}
 	}
@@ -129,91 +135,91 @@
 	}
 }
 
-// Gathering reports whether replicas that exist may still be unknown here because
-// the gateway has just begun to learn of them.
-func (f *Fleet) Gathering(now time.Time) bool {
-	begun := f.begunAt.Load()
-	return begun == 0 || now.UnixNano()-begun < int64(gatherTime)
+// Discovering reports whether some replicas may still be unknown because the gateway has just
+// started to discover them.
+func (f *Fleet) Discovering(now time.Time) bool {
+	begun := f.firstReplicaAt.Load()
+	return begun == 0 || now.UnixNano()-begun < int64(discoveryTime)
 }
 
-// takeEntry takes in one replica; it reports whether it was not known. The lock is held.
-func (f *Fleet) takeEntry(e *registry.Entry) bool {
+// applyEntry applies one listed replica and reports whether it is new; the lock is held.
+func (f *Fleet) applyEntry(e *registry.Entry) bool {
 	id := e.Record.ID
 	peer := f.peers[id]
 	found := peer == nil
 	if found {
 		peer = newPeer(e.Record, f.dial)
-		f.recall(peer)
-		f.succeed(peer)
+		f.restoreState(peer)
+		f.inheritState(peer)
 		f.peers[id] = peer
-		f.byKey[loadview.Key(id)] = peer
+		f.byBacklogKey[loadview.Key(id)] = peer
 	} else {
-		f.renew(peer, e)
+		f.updateRecord(peer, e)
 	}
 	if e.Record.ColdMS > 0 {
-		peer.chill(f.bootNow(), time.Duration(e.Record.ColdMS)*time.Millisecond)
+		peer.markCold(f.bootNow(), time.Duration(e.Record.ColdMS)*time.Millisecond)
 	}
-	f.place(peer, e)
+	f.indexReplica(peer, e)
 	return found
 }
 
-// renew notes a known replica's latest word; the lock is held.
-func (f *Fleet) renew(peer *Peer, e *registry.Entry) {
+// updateRecord updates the record of a known replica; the lock is held.
+func (f *Fleet) updateRecord(peer *Peer, e *registry.Entry) {
 	peer.mu.Lock()
 	before := peer.record
 	peer.record = e.Record
 	peer.mu.Unlock()
 	if e.Replaced {
-		f.ended(f.now(), peer.id, "a later start has its address or its name")
+		f.onCrash(f.now(), peer.id, "a later start has its address or its name")
 	}
 	if before.Leaving() == e.Record.Leaving() {
 		return
 	}
 	peer.pool.close()
-	f.ring.Add(event.Event{Kind: event.ReplicaChanged, Host: e.Record.ID, Zone: e.Record.Zone, Reason: describe(e)})
+	f.ring.Add(event.Event{Kind: event.ReplicaChanged, Host: e.Record.ID, Zone: e.Record.Zone, Reason: describeEntry(e)})
 }
 
-// place brings the index up to date with one replica; the lock is held.
-func (f *Fleet) place(peer *Peer, e *registry.Entry) {
-	s := f.servers[peer.id]
+// indexReplica updates the index for one replica; the lock is held.
+func (f *Fleet) indexReplica(peer *Peer, e *registry.Entry) {
+	s := f.usable[peer.id]
 	if s != nil && (!e.Usable() || s.service != e.Record.Service) {
 		f.index.remove(s)
-		delete(f.servers, peer.id)
+		delete(f.usable, peer.id)
 		s = nil
 	}
 	if !e.Usable() {
 		return
 	}
 	if s == nil {
-		s = &server{candidate: &candidate{peer: peer, zone: e.Record.Zone}, service: e.Record.Service}
-		f.servers[peer.id] = s
+		s = &indexedReplica{candidate: &candidate{peer: peer, zone: e.Record.Zone}, service: e.Record.Service}
+		f.usable[peer.id] = s
 		f.index.add(s)
 	}
-	s.told = copies{}
+	s.reported = copies{}
 	for _, held := range e.Record.Models {
-		s.told[copyKey{model: held.Name}] = true
+		s.reported[copyKey{model: held.Name}] = true
 		for _, adapter := range held.Adapters {
-			s.told[copyKey{model: held.Name, adapter: adapter}] = true
+			s.reported[copyKey{model: held.Name, adapter: adapter}] = true
 		}
 	}
-	f.index.update(s, f.holdings[peer.id])
+	f.index.update(s, f.placerCopies[peer.id])
 }
 
-// remove forgets a replica; the lock is held.
+// remove drops a replica; the lock is held.
 func (f *Fleet) remove(id string) {
-	if s := f.servers[id]; s != nil {
+	if s := f.usable[id]; s != nil {
 		f.index.remove(s)
-		delete(f.servers, id)
+		delete(f.usable, id)
 	}
 	if peer := f.peers[id]; peer != nil {
 		peer.pool.close()
-		f.keep(peer)
+		f.saveState(peer)
 		delete(f.peers, id)
-		delete(f.byKey, loadview.Key(id))
+		delete(f.byBacklogKey, loadview.Key(id))
 	}
 }
 
-func describe(e *registry.Entry) string {
+func describeEntry(e *registry.Entry) string {
 	state := "ready"
 	switch {
 	case e.Record.Gone:
@@ -228,7 +234,8 @@
 	return fmt.Sprintf("%s, service %s at %s, sequence %d, %d models", state, e.Record.Service, e.Record.Address, e.Record.Sequence, len(e.Record.Models))
 }
 
-// SetHoldings takes in what the placing node knows beyond the replicas' words.
+// SetHoldings sets the copies known to the placing node beyond those that the replicas reported,
+// and the copies that are being loaded.
 func (f *Fleet) SetHoldings(h *wire.Holdings) {
 	next := map[string]copies{}
 	for _, held := range h.Copies {
@@ -239,38 +246,38 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.coming = make(map[indexKey]time.Time, len(h.Coming))
+	f.expectedCopies = make(map[indexKey]time.Time, len(h.Coming))
 	for _, c := range h.Coming {
-		f.coming[indexKey{c.Service, copyKey{model: c.Model}}] = f.now().Add(time.Duration(c.InMS) * time.Millisecond)
+		f.expectedCopies[indexKey{c.Service, copyKey{model: c.Model}}] = f.now().Add(time.Duration(c.InMS) * time.Millisecond)
 	}
-	before := f.holdings
-	f.holdings = next
+	before := f.placerCopies
+	f.placerCopies = next
 	for id := range before {
 		if next[id] == nil {
-			f.hold(id, nil)
+			f.updateCopies(id, nil)
 		}
 	}
 	for id, held := range next {
 		if !maps.Equal(before[id], held) {
-			f.hold(id, held)
+			f.updateCopies(id, held)
 		}
 	}
 }
 
-// hold brings the index up to date with what is known beyond a replica's words; the lock
-// is held.
-func (f *Fleet) hold(id string, known copies) {
-	if s := f.servers[id]; s != nil {
+// updateCopies updates the index with the copies of a replica that are known to the placing node;
+// the lock is held.
+func (f *Fleet) updateCopies(id string, known copies) {
+	if s := f.usable[id]; s != nil {
 		f.index.update(s, known)
 	}
 }
 
-// Tidy closes connections that were idle for too long and forgets the words of replicas that are
-// gone for long.
+// Tidy closes connections that were idle for too long and drops expired states of unlisted
+// replicas.
 func (f *Fleet) Tidy(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forget(now)
+	f.expireStates(now)
 	for _, peer := range f.peers {
 		peer.pool.expire(now)
 	}
--- a/src/exchange/fleet_bench_test.go
+++ b/src/exchange/fleet_bench_test.go
@@ -67,7 +67,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := benchFleet(size)
 			for b.Loop() {
-				f.Pick(noon, Want{Service: "s", Model: "m1", Prompt: 500}, nil)
+				f.Pick(noon, Requirements{Service: "s", Model: "m1", PromptLength: 500}, nil)
 			}
 		})
 	}
--- a/src/exchange/fleet_test.go
+++ b/src/exchange/fleet_test.go
@@ -26,7 +26,7 @@
 }
 
 // picks counts how often each replica is chosen of 50 times.
-func picks(f *Fleet, now time.Time, want Want) map[string]int {
+func picks(f *Fleet, now time.Time, want Requirements) map[string]int {
 	chosen := map[string]int{}
 	for range 50 {
 		if c := f.Pick(now, want, nil); c.Peer != nil {
@@ -38,18 +38,18 @@
 
 func TestLoadOfAllKindsTurnsAChoice(t *testing.T) {
 	signs := map[string]func(p *Peer){
-		"own requests":   func(p *Peer) { p.begin(200 * time.Millisecond) },
-		"told load":      func(p *Peer) { p.told(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64}) },
+		"own requests":   func(p *Peer) { p.startRequest(200 * time.Millisecond) },
+		"told load":      func(p *Peer) { p.updateLoad(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64}) },
 		"failures":       func(p *Peer) { p.failed(noon, false) },
 		"no connection":  func(p *Peer) { p.failed(noon, true) },
-		"absent adapter": func(p *Peer) { p.lacks(noon, "m", "a1") },
+		"absent adapter": func(p *Peer) { p.noteMissingCopy(noon, "m", "a1") },
 	}
 	for name, sign := range signs {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet("a", "b")
 			sign(f.peers["a"])
-			is.Equal(picks(f, noon.Add(100*time.Millisecond), Want{Service: "s", Model: "m", Adapter: "a1", Prompt: 500}), map[string]int{"b": 50})
+			is.Equal(picks(f, noon.Add(100*time.Millisecond), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500}), map[string]int{"b": 50})
 		})
 	}
 }
@@ -58,9 +58,9 @@
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	p := f.peers["a"]
-	p.told(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64})
-	p.lacks(noon, "m", "a1")
-	chosen := picks(f, noon.Add(10*time.Second), Want{Service: "s", Model: "m", Adapter: "a1", Prompt: 500})
+	p.updateLoad(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64})
+	p.noteMissingCopy(noon, "m", "a1")
+	chosen := picks(f, noon.Add(10*time.Second), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500})
 	is.True(chosen["a"] > 0)
 }
 
@@ -69,11 +69,11 @@
 	f := newTestFleet("a", "b")
 	parts := []Part{{ID: "p", Tokens: 400}, {ID: "q", Tokens: 200}}
 	f.Sent(noon, f.peers["b"], "m", parts, 0)
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m", Prompt: 1000, Parts: parts}), map[string]int{"b": 50})
-	choice := f.Pick(noon, Want{Service: "s", Model: "m", Prompt: 1000, Parts: parts}, nil)
-	is.Equal(choice.Read, 400) // what is left to read there
+	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}), map[string]int{"b": 50})
+	choice := f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}, nil)
+	is.Equal(choice.PrefillTokens, 400) // what is left to read there
 	// A part counts only if all before it were read there.
-	is.Equal(f.Pick(noon, Want{Service: "s", Model: "m", Prompt: 1000, Parts: []Part{{ID: "x", Tokens: 100}, {ID: "p", Tokens: 400}}}, nil).Read, 1000)
+	is.Equal(f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: []Part{{ID: "x", Tokens: 100}, {ID: "p", Tokens: 400}}}, nil).PrefillTokens, 1000)
 }
 
 func TestHoldingsGoBeforeTheReplicasWords(t *testing.T) {
@@ -83,10 +83,10 @@
 		{Replica: "a", Model: "m", Leaving: true},
 		{Replica: "b", Model: "m", Adapter: "a2"},
 	}})
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m"}), map[string]int{"b": 50})
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m", Adapter: "a2"}), map[string]int{"b": 50})
-	is.Equal(f.Pick(noon, Want{Service: "s", Model: "n"}, nil).Verdict, Missing)
-	is.Equal(f.Pick(noon, Want{Service: "t"}, nil).Verdict, None)
+	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m"}), map[string]int{"b": 50})
+	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a2"}), map[string]int{"b": 50})
+	is.Equal(f.Pick(noon, Requirements{Service: "s", Model: "n"}, nil).Verdict, ModelMissing)
+	is.Equal(f.Pick(noon, Requirements{Service: "t"}, nil).Verdict, NoReplica)
 }
 
 func TestOnlyUsableReplicasAreChosen(t *testing.T) {
@@ -100,7 +100,7 @@
 		{Record: draining}, {Record: gone},
 		{Record: record("silent"), Silent: true}, {Record: record("replaced"), Replaced: true}, {Record: record("sound")},
 	}})
-	is.Equal(picks(f, noon, Want{Service: "s"}), map[string]int{"sound": 50})
+	is.Equal(picks(f, noon, Requirements{Service: "s"}), map[string]int{"sound": 50})
 }
 
 // TestLoadIsSharedOnlyWhereReplicasDoNotTellIt: each answer says it anew elsewhere.
@@ -109,12 +109,12 @@
 	f := newTestFleet("a", "b")
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: registry.Record{ID: "silent", Service: "t", Slots: 4}}}})
 	for _, id := range []string{"a", "silent"} {
-		f.peers[id].begin(0)
+		f.peers[id].startRequest(0)
 		f.Sent(noon, f.peers[id], "m", nil, 0)
 	}
 	is.Equal(len(f.Loads()), 2)
 	<-f.RequestSent()
-	f.Told(noon, f.peers["b"], Load{Known: true, Running: 1, Slots: 64})
+	f.UpdateLoad(noon, f.peers["b"], Load{Known: true, Running: 1, Slots: 64})
 	loads := f.Loads()
 	is.Equal(len(loads), 1)
 	is.Equal(loads[0].Replica, "silent")
@@ -132,9 +132,9 @@
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 1, Copies: []wire.Holding{{Replica: "a", Model: "m", Leaving: true}}})
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m", Adapter: "a1"}), map[string]int{"b": 50})
+	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"}), map[string]int{"b": 50})
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 2})
-	is.Equal(len(picks(f, noon, Want{Service: "s", Model: "m", Adapter: "a1"})), 2)
+	is.Equal(len(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"})), 2)
 }
 
 // TestChangesOfAReplicaLeaveTheOthersAsTheyAre: the index after any changes is what one
@@ -191,7 +191,7 @@
 
 func listed(f *Fleet, service string, held copyKey) []string {
 	var ids []string
-	for _, c := range f.index.of(service, held) {
+	for _, c := range f.index.lookup(service, held) {
 		ids = append(ids, c.peer.ID())
 	}
 	slices.Sort(ids)
--- a/src/exchange/handler.go
+++ b/src/exchange/handler.go
@@ -18,109 +18,110 @@
 	"github.com/moorspool/moorspool/src/ratelimit"
 )
 
-// The handler's times and bounds.
+// Timeouts and limits of the handler.
 const (
-	// maxSends bounds the replicas that one request is offered to, when each
-	// says that it did not run it.
+	// maxSends is the maximum number of replicas that one request is sent to if none of them runs
+	// it.
 	maxSends = 4
-	// defaultTimeout holds where neither client nor route name one.
+	// defaultTimeout applies if neither the client nor the route sets one.
 	defaultTimeout = 30 * time.Second
-	// answerMargin is kept from a request's time for the answer's way back.
-	answerMargin = 20 * time.Millisecond
-	// missingPoll is how often a request looks for a copy that is being loaded.
-	missingPoll = 10 * time.Millisecond
-	// missingShare is the part of the target that a request waits for a copy.
-	missingShare = 0.22
-	// gatheringShare is that part while the gateway's list of replicas is young.
-	gatheringShare = 0.6
-	// startHold is how long a request waits in a gateway that has just started and
-	// knows no configuration yet: after a loss of power control nodes come up some
-	// 0.3 s later than gateways, and a refused client is late for certain.
-	startHold = 300 * time.Millisecond
-	// bodyTimeout bounds the reading of a body.
+	// responseMargin is subtracted from a request's deadline for the way of the response back to
+	// the client.
+	responseMargin = 20 * time.Millisecond
+	// replicaPollInterval is how often a waiting request looks for a replica.
+	replicaPollInterval = 10 * time.Millisecond
+	// maxCopyWaitShare is the share of its target that a request waits for a copy of its model.
+	maxCopyWaitShare = 0.22
+	// maxDiscoveryWaitShare is that share while the gateway is still discovering replicas.
+	maxDiscoveryWaitShare = 0.6
+	// maxConfigWait is how long a request waits in a gateway that has just started and has no
+	// configuration yet. After a power loss control nodes start about 0.3 s later than gateways,
+	// and a refused client would certainly be late.
+	maxConfigWait = 300 * time.Millisecond
+	// bodyTimeout limits the time for reading a request body.
 	bodyTimeout = 10 * time.Second
 )
 
-// Options are what a handler needs.
+// Options configure a handler.
 type Options struct {
 	Codec  Codec
 	Fleet  *Fleet
 	Budget BudgetLimits
-	// Admission admits the requests of client accounts; it is asked only under a
-	// configuration that wants keys.
+	// Admission admits the requests of client accounts. It is used only if the configuration
+	// requires keys.
 	Admission Admission
-	// Places assigns the places of replicas that are few beside the gateways.
+	// Places assigns slots of services that have fewer slots than there are gateways.
 	Places Places
-	// Permits issues permits for requests to cold and limited replicas.
+	// Permits issues permits for requests to cold and rate-limited replicas.
 	Permits Permits
-	// Guard keeps requests under which replicas ended away from further ones.
+	// Guard quarantines requests during which replicas crashed.
 	Guard *quarantine.Guard
-	// Demand learns what requests ask for.
+	// Demand counts the requests by model.
 	Demand  *Demand
 	Ring    *event.Ring
 	Metrics *Metrics
 	Now     func() time.Time
-	// Unknown learns what a replica says in answers that the product does not know; nil if nobody
-	// wants to know.
+	// Unknown is called with the unknown statements in a replica's response. It may be nil.
 	Unknown func(replica string, names []string)
-	// RetainBytes bounds what is kept of bodies and answers over all requests, 0 for no bound.
+	// RetainBytes limits the buffered bytes of bodies and responses over all requests; 0 means no
+	// limit.
 	RetainBytes int64
 }
 
-// Handler serves clients' requests; it is safe for concurrent use.
+// Handler serves client requests. It is safe for concurrent use.
 type Handler struct {
 	options Options
 	table   atomic.Pointer[catalog.Table]
 	// configured is closed once there is a configuration.
-	configured chan struct{}
-	configure  sync.Once
-	budgets    budgets
-	gateways   atomic.Int64
-	stopping   atomic.Bool
-	running    atomic.Int64
-	placing    placing
-	endings    *endings
-	lines      *lines
-	retention  retention
-	// standIn issues permits where no control node answers.
-	standIn *ratelimit.StandIn
+	configured    chan struct{}
+	configure     sync.Once
+	budgets       budgets
+	gateways      atomic.Int64
+	stopping      atomic.Bool
+	running       atomic.Int64
+	slotAssigner  slotAssigner
+	crashDetector *crashDetector
+	waitQueues    *waitQueues
+	retention     retention
+	// localIssuer issues permits if no control node responds.
+	localIssuer *ratelimit.StandIn
 }
 
 // NewHandler returns a handler without a configuration.
 func NewHandler(options Options) *Handler {
-	h := &Handler{options: options, budgets: newBudgets(options.Budget), configured: make(chan struct{}), lines: newLines(), retention: retention{limit: options.RetainBytes}, standIn: ratelimit.NewStandIn(rand.Float64)}
+	h := &Handler{options: options, budgets: newBudgets(options.Budget), configured: make(chan struct{}), waitQueues: newWaitQueues(), retention: retention{limit: options.RetainBytes}, localIssuer: ratelimit.NewStandIn(rand.Float64)}
 	h.gateways.Store(1)
-	h.endings = newEndings(options.Now, h.replicaEnded)
-	options.Fleet.onEnd(h.endings.prove)
+	h.crashDetector = newCrashDetector(options.Now, h.noteCrash)
+	options.Fleet.setCrashHandler(h.crashDetector.confirm)
 	return h
 }
 
-// SetTable puts a configuration in force.
+// SetTable activates a configuration.
 func (h *Handler) SetTable(t *catalog.Table) {
-	h.options.Fleet.boundCold(t)
+	h.options.Fleet.setColdRates(t)
 	h.table.Store(t)
 	h.configure.Do(func() { close(h.configured) })
 }
 
-// Table returns the configuration in force, nil if there is none yet.
+// Table returns the active configuration, nil if there is none yet.
 func (h *Handler) Table() *catalog.Table { return h.table.Load() }
 
-// SetGateways says how many gateways share the retry budgets.
+// SetGateways sets the number of gateways that share the retry budgets.
 func (h *Handler) SetGateways(n int) { h.gateways.Store(int64(n)) }
 
-// Gateways returns how many gateways share the retry budgets.
+// Gateways returns the number of gateways that share the retry budgets.
 func (h *Handler) Gateways() int { return int(h.gateways.Load()) }
 
-// Tidy forgets what is too old to matter.
-func (h *Handler) Tidy(now time.Time) { h.endings.sweep(now) }
+// Tidy drops expired state.
+func (h *Handler) Tidy(now time.Time) { h.crashDetector.expire(now) }
 
-// Stop makes every answer the last one on its connection.
+// Stop makes the handler close each connection after its current response.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// Running returns the number of requests under way.
+// Running returns the number of requests in progress.
 func (h *Handler) Running() int { return int(h.running.Load()) }
 
-// call is one client's request on its way.
+// call is the state of one client request.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -128,64 +129,64 @@
 	route   *catalog.Route
 	version uint64
 	service string
-	// eventTokens is how many tokens an event of the service's streams holds, 0 if unknown.
-	eventTokens int
-	// backups says that the service's replicas can keep copies of runs.
-	backups bool
-	facts   Facts
+	// tokensPerEvent is the number of tokens in an event of the service's streams, 0 if unknown.
+	tokensPerEvent int
+	// supportsBackups is set if the service's replicas can keep copies of runs.
+	supportsBackups bool
+	facts           Facts
 	// account is the client account, nil for requests without one.
-	account *catalog.Account
-	permit  permit
-	place   place
-	// sendPermit is the permit for a cold or limited replica, permitAsks how many were asked for and
-	// permitWait how long the request waited for them.
-	sendPermit sendPermit
-	permitAsks int
-	permitWait time.Duration
-	// standing is its place among those that wait for replicas which take nothing now.
-	standing standing
-	body     []byte
-	// retained are the bytes that are kept of it.
-	retained int64
-	began    time.Time
-	// deadline is when the client must have its answer.
+	account      *catalog.Account
+	grant        grant
+	assignedSlot assignedSlot
+	// sendPermit is the permit for a cold or rate-limited replica, permitRequests the number of
+	// permits requested so far, and permitWait the time spent waiting for them.
+	sendPermit     sendPermit
+	permitRequests int
+	permitWait     time.Duration
+	// queueEntry is the request's entry in the queue for replicas that accept nothing now.
+	queueEntry queueEntry
+	body       []byte
+	// retained is the number of bytes that are counted as buffered for the request.
+	retained  int64
+	startedAt time.Time
+	// deadline is when the client must have its response.
 	deadline time.Time
 	tried    []*Peer
-	// backup is the replica that keeps a copy of the present run, nil if there is none.
+	// backup is the replica that keeps a copy of the current run, nil if there is none.
 	backup *Peer
-	// sends counts the replicas that were tried, arrivals those that the request
-	// may have reached, ran those that may have run it.
-	sends    int
-	arrivals int
-	ran      int
-	// unsent is set if the last attempt sent nothing.
-	unsent bool
-	// broke is set while the last attempt's connection is known to have broken.
-	broke bool
-	// content is the digest of what the request asks for, once digested is set.
+	// sends counts the attempts, possibleArrivals those that may have reached a replica, and
+	// possibleRuns those that a replica may have run.
+	sends            int
+	possibleArrivals int
+	possibleRuns     int
+	// notSent is set if the last attempt sent nothing.
+	notSent bool
+	// connectionBroke is set if the connection of the last attempt broke.
+	connectionBroke bool
+	// content is the digest of the request's content. It is valid once digested is set.
 	content  quarantine.Digest
 	digested bool
-	// status is what the client was answered.
+	// status is the status of the response to the client, 0 if the response was aborted.
 	status int
 	reason string
-	// retryIn is when a refused client should come back, 0 if the reason says it.
-	retryIn time.Duration
-	first   time.Time
-	stream  *eventStream
-	pauses  pauses
+	// retryIn is the value of Retry-After for a refused client, 0 for the default of the reason.
+	retryIn   time.Duration
+	firstByte time.Time
+	stream    *eventStream
+	pauses    pauses
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.running.Add(1)
 	defer h.running.Add(-1)
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	c := &call{handler: h, writer: w, request: r, began: h.options.Now()}
-	c.deadline = c.began.Add(defaultTimeout)
-	defer c.note()
-	defer c.giveRetained()
+	c := &call{handler: h, writer: w, request: r, startedAt: h.options.Now()}
+	c.deadline = c.startedAt.Add(defaultTimeout)
+	defer c.logResult()
+	defer c.releaseRetained()
 	table := c.awaitTable()
 	if table == nil {
 		c.refuse(http.StatusServiceUnavailable, "no configuration yet")
@@ -199,16 +200,16 @@
 	}
 	c.service = c.route.Pick(rand.Float64())
 	if service := table.Service(c.service); service != nil && service.Engine != nil {
-		c.eventTokens, c.backups = service.Engine.EventTokens, service.Engine.Backups
+		c.tokensPerEvent, c.supportsBackups = service.Engine.EventTokens, service.Engine.Backups
 	}
 	c.facts = h.options.Codec.Facts(r)
-	c.deadline = c.began.Add(c.allowed())
+	c.deadline = c.startedAt.Add(c.timeLimit())
 	if !c.identify(table) || !c.readBody(table.Document().Limits.BodyBytes) {
 		return
 	}
-	h.budgets.of(c.service).Request(c.began)
-	defer c.giveBack()
-	// No place outlasts its request, however that ends.
+	h.budgets.get(c.service).Request(c.startedAt)
+	defer c.returnGrant()
+	// The slot must be released however the request ends.
 	defer c.release(dispatch.Failed)
 	if !c.maySend(r.Context()) {
 		return
@@ -217,8 +218,8 @@
 	c.run()
 }
 
-// awaitTable returns the configuration in force; where there is none yet it waits
-// for the first one, up to startHold.
+// awaitTable returns the active configuration. If there is none yet, it waits up to maxConfigWait
+// for the first one.
 func (c *call) awaitTable() *catalog.Table {
 	h := c.handler
 	if table := h.table.Load(); table != nil {
@@ -226,22 +227,22 @@
 	}
 	select {
 	case <-h.configured:
-	case <-time.After(startHold):
+	case <-time.After(maxConfigWait):
 	case <-c.request.Context().Done():
 	}
 	return h.table.Load()
 }
 
-// allowed is how long the request may be held.
-func (c *call) allowed() time.Duration {
-	allowed := c.route.Timeout
-	if allowed <= 0 {
-		allowed = defaultTimeout
+// timeLimit returns how long the request may take.
+func (c *call) timeLimit() time.Duration {
+	timeLimit := c.route.Timeout
+	if timeLimit <= 0 {
+		timeLimit = defaultTimeout
 	}
 	if d := c.facts.Deadline; d > 0 {
-		allowed = min(allowed, d)
+		timeLimit = min(timeLimit, d)
 	}
-	return allowed
+	return timeLimit
 }
 
 func (c *call) readBody(limit int) bool {
@@ -249,9 +250,9 @@
 		limit = 4 << 20
 	}
 	control := http.NewResponseController(c.writer)
-	_ = control.SetReadDeadline(c.began.Add(bodyTimeout))
+	_ = control.SetReadDeadline(c.startedAt.Add(bodyTimeout))
 	body, err := io.ReadAll(&retainingReader{call: c, from: http.MaxBytesReader(c.writer, c.request.Body, int64(limit))})
-	if errors.Is(err, errRetention) {
+	if errors.Is(err, errRetentionFull) {
 		c.refuse(http.StatusServiceUnavailable, err.Error())
 		return false
 	}
@@ -269,45 +270,45 @@
 	return true
 }
 
-// run is the loop of attempts.
+// run makes attempts until the request has a response.
 func (c *call) run() {
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
-	var kept *keptAnswer
+	var lastError *errorResponse
 	choice, chosen := Choice{}, false
 	for {
 		if !chosen {
 			choice = c.choose(ctx)
 		}
-		if choice.Verdict != Chosen || c.left() {
+		if choice.Verdict != Chosen || c.clientLeft() {
 			c.release(dispatch.Full)
-			c.giveUp(kept, choice)
+			c.endWithoutReplica(lastError, choice)
 			return
 		}
 		if !c.maySend(ctx) {
 			c.release(dispatch.Full)
 			return
 		}
-		ended, answer := c.attempt(ctx, choice)
-		c.release(c.placeOutcome(ended))
-		if answer != nil {
-			kept = answer
+		ended, failure := c.attempt(ctx, choice)
+		c.release(c.slotOutcome(ended))
+		if failure != nil {
+			lastError = failure
 		}
 		if ended == answered {
-			c.ranWell()
+			c.noteSuccessfulRun()
 			return
 		}
-		if ended == unknown || ended == cut {
-			c.lostReplica(ctx, choice.Peer)
+		if ended == unknown || ended == truncated {
+			c.noteLostReplica(ctx, choice.Peer)
 		}
 		if ended == unknown {
-			if choice, chosen = c.goesOn(ctx, choice.Peer); chosen {
+			if choice, chosen = c.resumeAtBackup(ctx, choice.Peer); chosen {
 				continue
 			}
 		}
 		chosen = false
-		if !c.again(ctx, ended) {
-			c.end(ctx, ended, kept)
+		if !c.mayRetry(ctx, ended) {
+			c.endAfterAttempt(ctx, ended, lastError)
 			return
 		}
 	}
--- a/src/exchange/index.go
+++ b/src/exchange/index.go
@@ -11,32 +11,31 @@
 	zone string
 }
 
-// server is a replica that may get requests, with the copies that it is listed under.
-type server struct {
+// indexedReplica is a usable replica with the copies under which it is indexed.
+type indexedReplica struct {
 	candidate *candidate
 	service   string
-	// told are the copies that the replica itself told of.
-	told copies
-	// listed are the copies that it is listed under in the index.
-	listed copies
+	// reported holds the copies that the replica itself reported.
+	reported copies
+	// indexed holds the copies under which the replica is in the index.
+	indexed copies
 }
 
-// copyIndex lists the replicas of a service and those that hold a copy, so that a choice
-// looks at these alone. A list never changes once it is there: reading takes no lock, and
-// a change costs what the copies of one replica cost. Changes are made by one goroutine
-// at a time.
+// copyIndex lists the replicas by service and by copy, so that a choice only looks at replicas that
+// hold the model. Lists are immutable, so reading takes no lock; the cost of a change depends on
+// the number of copies of one replica. Only one goroutine may change the index at a time.
 type copyIndex struct {
 	lists sync.Map // indexKey -> []*candidate
 }
 
-// indexKey names a list: all replicas of a service if the copy is empty.
+// indexKey identifies a list. An empty copy stands for all replicas of the service.
 type indexKey struct {
 	service string
 	held    copyKey
 }
 
-// of returns the replicas of a service that hold a copy, or all if it is empty.
-func (x *copyIndex) of(service string, held copyKey) []*candidate {
+// lookup returns the replicas of a service that hold a copy, or all replicas if the copy is empty.
+func (x *copyIndex) lookup(service string, held copyKey) []*candidate {
 	list, found := x.lists.Load(indexKey{service, held})
 	if !found {
 		return nil
@@ -45,26 +44,26 @@
 }
 
 // add lists a replica under its service.
-func (x *copyIndex) add(s *server) {
-	s.listed = copies{}
+func (x *copyIndex) add(s *indexedReplica) {
+	s.indexed = copies{}
 	x.insert(s, copyKey{})
 }
 
 // remove takes a replica out of all lists.
-func (x *copyIndex) remove(s *server) {
-	for held := range s.listed {
+func (x *copyIndex) remove(s *indexedReplica) {
+	for held := range s.indexed {
 		x.delete(s, held)
 	}
-	s.listed = nil
+	s.indexed = nil
 	x.delete(s, copyKey{})
 }
 
-// update lists a replica under the copies that it told of and under those that are known
-// to have come since, but not under those that are known to leave.
-func (x *copyIndex) update(s *server, known copies) {
-	next := make(copies, len(s.told)+len(known))
-	for held := range s.told {
-		// An adapter leaves with its model.
+// update lists a replica under the copies that it reported and under those that are known to be
+// loaded since, but not under those that are known to be unloaded.
+func (x *copyIndex) update(s *indexedReplica, known copies) {
+	next := make(copies, len(s.reported)+len(known))
+	for held := range s.reported {
+		// Adapters are unloaded with their model.
 		if !known[held] && !known[copyKey{model: held.model}] {
 			next[held] = true
 		}
@@ -74,28 +73,28 @@
 			next[held] = true
 		}
 	}
-	for held := range s.listed {
+	for held := range s.indexed {
 		if !next[held] {
 			x.delete(s, held)
 		}
 	}
 	for held := range next {
-		if !s.listed[held] {
+		if !s.indexed[held] {
 			x.insert(s, held)
 		}
 	}
-	s.listed = next
+	s.indexed = next
 }
 
-func (x *copyIndex) insert(s *server, held copyKey) {
+func (x *copyIndex) insert(s *indexedReplica, held copyKey) {
 	key := indexKey{s.service, held}
-	list := x.of(s.service, held)
+	list := x.lookup(s.service, held)
 	x.lists.Store(key, append(slices.Clip(list), s.candidate))
 }
 
-func (x *copyIndex) delete(s *server, held copyKey) {
+func (x *copyIndex) delete(s *indexedReplica, held copyKey) {
 	key := indexKey{s.service, held}
-	list := x.of(s.service, held)
+	list := x.lookup(s.service, held)
 	at := slices.Index(list, s.candidate)
 	switch {
 	case at < 0:
--- a/src/exchange/intake_test.go
+++ b/src/exchange/intake_test.go
@@ -19,15 +19,15 @@
 
 func init() { testseed.Fix() }
 
-func taken(i *intake, now time.Time) bool {
-	_, taken := i.takes(now)
+func taken(i *backoffState, now time.Time) bool {
+	_, taken := i.accepts(now)
 	return taken
 }
 
 // TestTheLaterEndHolds: a further word within the time lengthens it and never shortens it.
 func TestTheLaterEndHolds(t *testing.T) {
 	is := is.New(t)
-	var i intake
+	var i backoffState
 	is.True(i.backOff(noon, 3*time.Second, 0))
 	is.True(!i.backOff(noon.Add(time.Second), time.Second, 0))
 	is.True(!taken(&i, noon.Add(2500*time.Millisecond)))
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	const gateways = 300
 	random := rand.New(rand.NewPCG(1, 2))
-	intakes := make([]intake, gateways)
+	intakes := make([]backoffState, gateways)
 	for i := range intakes {
 		intakes[i].backOff(noon, 3*time.Second, random.Float64())
 	}
@@ -66,18 +66,18 @@
 // TestALongTimeIsCut to one after which a single request tries again.
 func TestALongTimeIsCut(t *testing.T) {
 	is := is.New(t)
-	var i intake
+	var i backoffState
 	i.backOff(noon, math.MaxInt64, 0)
-	is.True(!taken(&i, noon.Add(longestBackoff-time.Second)))
-	is.True(i.admit(noon.Add(longestBackoff)))
-	is.True(!i.admit(noon.Add(longestBackoff)))
+	is.True(!taken(&i, noon.Add(maxBackoff-time.Second)))
+	is.True(i.admit(noon.Add(maxBackoff)))
+	is.True(!i.admit(noon.Add(maxBackoff)))
 }
 
 // TestFewTryBeforeMany: once the time is over one request goes, their number doubles while no
 // answer comes, the first good answer opens, and a further word closes again.
 func TestFewTryBeforeMany(t *testing.T) {
 	is := is.New(t)
-	var i intake
+	var i backoffState
 	i.backOff(noon, time.Second, 0)
 	at := noon.Add(time.Second)
 	sent := 0
@@ -87,19 +87,19 @@
 		}
 	}
 	is.Equal(sent, 1)
-	from, _ := i.takes(at)
-	is.Equal(from, at.Add(trialPause))
+	from, _ := i.accepts(at)
+	is.Equal(from, at.Add(trialInterval))
 	for range 100 {
-		if i.admit(at.Add(2 * trialPause)) {
+		if i.admit(at.Add(2 * trialInterval)) {
 			sent++
 		}
 	}
 	is.Equal(sent, 4)
-	i.backOff(at.Add(2*trialPause), time.Second, 0)
-	is.True(!taken(&i, at.Add(3*trialPause)))
-	after := at.Add(2*trialPause + time.Second)
+	i.backOff(at.Add(2*trialInterval), time.Second, 0)
+	is.True(!taken(&i, at.Add(3*trialInterval)))
+	after := at.Add(2*trialInterval + time.Second)
 	is.True(i.admit(after))
-	is.True(i.answered(after))
+	is.True(i.noteAccepted(after))
 	for range 100 {
 		is.True(i.admit(after))
 	}
@@ -108,9 +108,9 @@
 // TestAnEarlierAnswerOpensNothing: an answer to a request of before the word says nothing of it.
 func TestAnEarlierAnswerOpensNothing(t *testing.T) {
 	is := is.New(t)
-	var i intake
+	var i backoffState
 	i.backOff(noon, time.Second, 0)
-	is.True(!i.answered(noon.Add(100 * time.Millisecond)))
+	is.True(!i.noteAccepted(noon.Add(100 * time.Millisecond)))
 	is.True(!taken(&i, noon.Add(200*time.Millisecond)))
 }
 
@@ -121,12 +121,12 @@
 	f := NewFleet("z", Dial, nil, func() time.Time { return now }, func() time.Time { return now })
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{benchEntry(0, 1)}})
 	peer := f.Peer("i-0")
-	f.heard(peer, &Reply{Backoff: time.Second, NotRun: true})
-	now = now.Add(time.Second + spreadOfEnds)
+	f.applyReply(peer, &Reply{Backoff: time.Second, NotRun: true})
+	now = now.Add(time.Second + maxBackoffJitter)
 	is.True(f.admit(peer))
-	f.heard(peer, &Reply{NotRun: true})
+	f.applyReply(peer, &Reply{NotRun: true})
 	is.True(!f.admit(peer))
-	f.heard(peer, &Reply{NotRun: true, Elsewhere: true}) // it took the request up and lacks the model
+	f.applyReply(peer, &Reply{NotRun: true, Elsewhere: true}) // it took the request up and lacks the model
 	is.True(f.admit(peer))
 	is.True(f.admit(peer))
 }
@@ -134,12 +134,12 @@
 // TestLeavingIsNeverTakenBack by a good answer, by time or by a further word.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
 	is := is.New(t)
-	var i intake
-	is.True(i.leave())
-	is.True(!i.leave())
+	var i backoffState
+	is.True(i.noteLeaving())
+	is.True(!i.noteLeaving())
 	i.backOff(noon, time.Second, 0)
-	is.True(!i.answered(noon.Add(time.Hour)))
-	from, ok := i.takes(noon.Add(24 * time.Hour))
+	is.True(!i.noteAccepted(noon.Add(time.Hour)))
+	from, ok := i.accepts(noon.Add(24 * time.Hour))
 	is.True(!ok && from.IsZero())
 	is.True(!i.admit(noon.Add(24 * time.Hour)))
 }
@@ -156,15 +156,15 @@
 	}
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{entry(1)}})
 	earlier := f.Peer("i@1")
-	f.heard(earlier, &Reply{Backoff: time.Minute})
+	f.applyReply(earlier, &Reply{Backoff: time.Minute})
 	replaced := entry(1)
 	replaced.Replaced = true
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{entry(2), replaced}})
-	is.True(f.takes(f.Peer("i@2")))
-	f.heard(earlier, &Reply{Backoff: time.Minute, Leaving: true})
-	is.True(f.takes(f.Peer("i@2")))
-	is.Equal(f.Pick(now, Want{Service: "s"}, nil).Peer, f.Peer("i@2"))
-	is.True(!f.takes(earlier))
+	is.True(f.acceptsWithoutPermit(f.Peer("i@2")))
+	f.applyReply(earlier, &Reply{Backoff: time.Minute, Leaving: true})
+	is.True(f.acceptsWithoutPermit(f.Peer("i@2")))
+	is.Equal(f.Pick(now, Requirements{Service: "s"}, nil).Peer, f.Peer("i@2"))
+	is.True(!f.acceptsWithoutPermit(earlier))
 }
 
 // TestASuspensionOfThisHostCounts: the replica's time runs on while this host stands still.
@@ -174,27 +174,27 @@
 	f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return boot })
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{benchEntry(0, 1)}})
 	peer := f.Peer("i-0")
-	f.heard(peer, &Reply{Backoff: 10 * time.Second})
-	is.True(!f.takes(peer))
-	boot = noon.Add(10*time.Second + spreadOfEnds)
-	is.True(f.takes(peer))
+	f.applyReply(peer, &Reply{Backoff: 10 * time.Second})
+	is.True(!f.acceptsWithoutPermit(peer))
+	boot = noon.Add(10*time.Second + maxBackoffJitter)
+	is.True(f.acceptsWithoutPermit(peer))
 }
 
 // TestTheWordOfOneThatIsNotListedIsForgottenAtLast, and no more than a number of them are kept.
 func TestTheWordOfOneThatIsNotListedIsForgottenAtLast(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return noon })
-	for i := range maxUnlisted + 10 {
+	for i := range maxUnlistedStates + 10 {
 		id := fmt.Sprint("i-", i)
 		f.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: registry.Record{ID: id, Service: "s"}}}})
-		f.heard(f.Peer(id), &Reply{Leaving: true})
+		f.applyReply(f.Peer(id), &Reply{Leaving: true})
 		f.SetReplicas(registry.Changes{Removed: []string{id}})
 	}
-	is.Equal(len(f.kept), maxUnlisted)
-	f.Tidy(noon.Add(keptFor))
-	is.Equal(len(f.kept), maxUnlisted)
-	f.Tidy(noon.Add(keptFor + time.Second))
-	is.Equal(len(f.kept), 0)
+	is.Equal(len(f.unlisted), maxUnlistedStates)
+	f.Tidy(noon.Add(unlistedStateTTL))
+	is.Equal(len(f.unlisted), maxUnlistedStates)
+	f.Tidy(noon.Add(unlistedStateTTL + time.Second))
+	is.Equal(len(f.unlisted), 0)
 }
 
 // TestTheWordIsLoggedOnceEachTime: a line when the time begins, one when it is over, none for each
@@ -207,17 +207,17 @@
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{benchEntry(0, 1)}})
 	peer := f.Peer("i-0")
 	for range 3 {
-		f.heard(peer, &Reply{Backoff: time.Second})
+		f.applyReply(peer, &Reply{Backoff: time.Second})
 	}
 	backingOff, leaving := f.BackingOff()
 	is.Equal([]int{backingOff, leaving}, []int{1, 0})
-	now = now.Add(time.Second + spreadOfEnds)
-	f.heard(peer, &Reply{NotRun: true})
-	f.heard(peer, &Reply{})
-	f.heard(peer, &Reply{})
-	f.heard(peer, &Reply{BackoffFault: "neither seconds nor a date: \"x\""})
-	f.heard(peer, &Reply{Leaving: true})
-	f.heard(peer, &Reply{Leaving: true})
+	now = now.Add(time.Second + maxBackoffJitter)
+	f.applyReply(peer, &Reply{NotRun: true})
+	f.applyReply(peer, &Reply{})
+	f.applyReply(peer, &Reply{})
+	f.applyReply(peer, &Reply{BackoffFault: "neither seconds nor a date: \"x\""})
+	f.applyReply(peer, &Reply{Leaving: true})
+	f.applyReply(peer, &Reply{Leaving: true})
 	backingOff, leaving = f.BackingOff()
 	is.Equal([]int{backingOff, leaving}, []int{0, 1})
 	var kinds []event.Kind
@@ -235,10 +235,10 @@
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Unsafe, 1), x)
-	b.fleet.heard(b.fleet.Peer("x"), &Reply{Backoff: 60 * time.Millisecond})
+	b.fleet.applyReply(b.fleet.Peer("x"), &Reply{Backoff: 60 * time.Millisecond})
 	is.Equal(b.do("POST", "one", "x").status, http.StatusOK)
-	is.True(!b.handler.lines.any(copyOf{service: "s"}))
-	is.Equal(b.handler.lines.waiting.Load(), int64(0))
+	is.True(!b.handler.waitQueues.any(queueKey{service: "s"}))
+	is.Equal(b.handler.waitQueues.waiting.Load(), int64(0))
 }
 
 // TestNoReplicaGetsMoreThanTwoOfAGatewayInItsTime is the rule as a property: over gateways,
@@ -325,13 +325,13 @@
 		f.SetReplicas(registry.Changes{Entries: []registry.Entry{start.entry}})
 	case 3:
 		// A late answer of an earlier start.
-		f.heard(newPeer(registry.Record{ID: fmt.Sprint("i", i, "@0")}, nil), &Reply{Backoff: time.Hour, Leaving: true})
+		f.applyReply(newPeer(registry.Record{ID: fmt.Sprint("i", i, "@0")}, nil), &Reply{Backoff: time.Hour, Leaving: true})
 	default:
 		w.send(g)
 	}
 	for _, s := range w.starts {
 		peer := f.Peer(s.entry.Record.ID)
-		if !s.leaves && s.until[g].IsZero() && !f.takes(peer) {
+		if !s.leaves && s.until[g].IsZero() && !f.acceptsWithoutPermit(peer) {
 			w.broken = s.entry.Record.ID + " asked for nothing and is kept from requests"
 		}
 	}
@@ -340,7 +340,7 @@
 // send sends a request as a gateway does, and lets the replica answer.
 func (w *intakeWorld) send(g int) {
 	f := w.fleets[g]
-	choice := f.Pick(w.now, Want{Service: "s"}, nil)
+	choice := f.Pick(w.now, Requirements{Service: "s"}, nil)
 	if choice.Verdict != Chosen || !f.admit(choice.Peer) {
 		return
 	}
@@ -372,5 +372,5 @@
 			start.until[g] = until
 		}
 	}
-	f.heard(choice.Peer, &reply)
+	f.applyReply(choice.Peer, &reply)
 }
--- a/src/exchange/intake_ways_test.go
+++ b/src/exchange/intake_ways_test.go
@@ -145,7 +145,7 @@
 	open := newReplica(t, "y", whole)
 	b := newPlacedBench(t, &fakePlaces{err: errors.New("nobody assigns yet")}, closed, open)
 	b.close(closed, how)
-	b.handler.placing.lostUntil.Store(0)
+	b.handler.slotAssigner.unavailableUntil.Store(0)
 	unused := make(chan wire.PlaceRelease, 64)
 	b.handler.options.Places = Places{
 		Ask: func(context.Context, wire.PlaceRequest) (wire.PlaceReply, error) {
--- a/src/exchange/limited_test.go
+++ b/src/exchange/limited_test.go
@@ -25,13 +25,13 @@
 func TestWhatAnAnswerSaysOfALimit(t *testing.T) {
 	now := noon
 	named := func(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
-	run := sending{at: now.Add(time.Second), term: 3, permit: 9, answered: true}
+	run := sentRequest{sentAt: now.Add(time.Second), term: 3, grant: 9, succeeded: true}
 	failed, early := run, run
-	failed.answered = false
-	early.at = now.Add(-time.Second)
+	failed.succeeded = false
+	early.sentAt = now.Add(-time.Second)
 	for name, c := range map[string]struct {
 		said RateLimit
-		by   sending
+		by   sentRequest
 		want ratelimit.State
 		tell bool
 		word ratelimit.State
@@ -49,12 +49,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var throttle throttle
-			is.True(throttle.hear(now, named(5), sending{}))
-			throttle.take(now, limitOf(5), 3, 1, throttle.report().heard)
-			is.Equal(throttle.hear(now.Add(2*time.Second), c.said, c.by), c.tell)
-			is.Equal(throttle.state(), c.want)
-			is.Equal(throttle.report().word.State, c.word)
+			var sharedLimit sharedLimit
+			is.True(sharedLimit.noteReply(now, named(5), sentRequest{}))
+			sharedLimit.applyIssued(now, limitOf(5), 3, 1, sharedLimit.report().heard)
+			is.Equal(sharedLimit.noteReply(now.Add(2*time.Second), c.said, c.by), c.tell)
+			is.Equal(sharedLimit.currentLimit(), c.want)
+			is.Equal(sharedLimit.report().word.State, c.word)
 		})
 	}
 }
@@ -62,29 +62,29 @@
 // TestWhatAnIssuerSaysOfALimit: the newest version holds, unless an answer has named a lower one since.
 func TestWhatAnIssuerSaysOfALimit(t *testing.T) {
 	is := is.New(t)
-	var throttle throttle
-	is.True(throttle.take(noon, limitOf(5), 3, 4, nil))
-	is.True(!throttle.take(noon, ratelimit.State{}, 3, 3, nil)) // older
-	is.True(!throttle.take(noon, ratelimit.State{}, 2, 9, nil)) // of an earlier leader
-	is.True(!throttle.take(noon, limitOf(8), 0, 0, nil))        // without an issuer only a lower one
-	is.True(throttle.take(noon, limitOf(4), 0, 0, nil))
-	is.True(throttle.take(noon, limitOf(8), 3, 5, nil))
-	is.True(throttle.hear(noon, RateLimit{Named: true, PerSecond: 2}, sending{}))
-	is.True(!throttle.take(noon, limitOf(8), 3, 6, nil)) // the issuer does not know of 2 yet
-	told := throttle.report()
-	is.True(!throttle.take(noon, limitOf(2), 3, 7, told.heard))
-	is.True(throttle.take(noon, ratelimit.State{}, 3, 8, nil))
-	is.True(!throttle.on.Load())
+	var sharedLimit sharedLimit
+	is.True(sharedLimit.applyIssued(noon, limitOf(5), 3, 4, nil))
+	is.True(!sharedLimit.applyIssued(noon, ratelimit.State{}, 3, 3, nil)) // older
+	is.True(!sharedLimit.applyIssued(noon, ratelimit.State{}, 2, 9, nil)) // of an earlier leader
+	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 0, 0, nil))        // without an issuer only a lower one
+	is.True(sharedLimit.applyIssued(noon, limitOf(4), 0, 0, nil))
+	is.True(sharedLimit.applyIssued(noon, limitOf(8), 3, 5, nil))
+	is.True(sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{}))
+	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 3, 6, nil)) // the issuer does not know of 2 yet
+	told := sharedLimit.report()
+	is.True(!sharedLimit.applyIssued(noon, limitOf(2), 3, 7, told.heard))
+	is.True(sharedLimit.applyIssued(noon, ratelimit.State{}, 3, 8, nil))
+	is.True(!sharedLimit.active.Load())
 }
 
 // TestAStandInClearsNothing: what an answer said is told to an issuer once there is one.
 func TestAStandInClearsNothing(t *testing.T) {
 	is := is.New(t)
-	var throttle throttle
-	throttle.hear(noon, RateLimit{Named: true, PerSecond: 2}, sending{})
-	told := throttle.report()
-	throttle.take(noon, limitOf(2), 0, 0, told.heard)
-	is.True(throttle.report().word.Heard)
+	var sharedLimit sharedLimit
+	sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{})
+	told := sharedLimit.report()
+	sharedLimit.applyIssued(noon, limitOf(2), 0, 0, told.heard)
+	is.True(sharedLimit.report().word.Heard)
 }
 
 // limitedBench has one replica that names a limit, and an issuer whose answers are counted.
@@ -169,7 +169,7 @@
 	}
 	x.setAct(whole)
 	b.startAgain(x)
-	is.True(!b.fleet.Peer("x@2").throttle.on.Load())
+	is.True(!b.fleet.Peer("x@2").sharedLimit.active.Load())
 	is.Equal(b.do("POST", "later", "x").status, http.StatusOK)
 }
 
@@ -181,5 +181,5 @@
 	x.setAct(func(a arrival) bool { a.answer(200, "slow", testLimit+": 0"); return true })
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
 	b.startAgain(x)
-	is.True(b.fleet.Peer("x@2").throttle.on.Load())
+	is.True(b.fleet.Peer("x@2").sharedLimit.active.Load())
 }
--- a/src/exchange/limited_world_test.go
+++ b/src/exchange/limited_world_test.go
@@ -46,10 +46,10 @@
 }
 
 type worldGateway struct {
-	throttle   throttle
-	standIn    *ratelimit.StandIn
-	node       *worldNode
-	permitFrom time.Duration
+	sharedLimit sharedLimit
+	standIn     *ratelimit.StandIn
+	node        *worldNode
+	permitFrom  time.Duration
 	// toldAt is when the gateway first passed on the limit that is named, 0 before.
 	toldAt time.Duration
 	// stands is until when the host stands still.
@@ -138,8 +138,8 @@
 	switch {
 	case w.now < g.stands:
 		w.after(g.stands-w.now, func() { w.request(g, came) })
-	case !g.throttle.on.Load():
-		w.send(g, sending{at: w.clock()})
+	case !g.sharedLimit.active.Load():
+		w.send(g, sentRequest{sentAt: w.clock()})
 	case w.now < g.permitFrom:
 		w.refused = append(w.refused, w.now)
 	default:
@@ -151,13 +151,13 @@
 // answered lets a request wait for its permit's time.
 func (w *limitedWorld) answered(g *worldGateway, asked time.Duration, a ratelimit.Answer) {
 	switch {
-	case !g.throttle.on.Load():
-		w.send(g, sending{at: w.clock()})
+	case !g.sharedLimit.active.Load():
+		w.send(g, sentRequest{sentAt: w.clock()})
 	case !a.Known || !a.Granted:
 		w.refused = append(w.refused, w.now)
 		g.permitFrom = w.now + a.Wait
 		if !a.Known {
-			g.permitFrom = w.now + permitLost
+			g.permitFrom = w.now + permitRetryDelay
 		}
 	default:
 		w.after(a.Wait, func() { w.use(g, asked+a.Wait+ratelimit.Life, a) })
@@ -170,14 +170,14 @@
 		w.after(g.stands-w.now, func() { w.use(g, until, a) })
 		return
 	}
-	if w.now < until && !g.throttle.state().Stricter(a.State) {
-		w.send(g, sending{at: w.clock(), term: a.Term, permit: a.Permit})
+	if w.now < until && !g.sharedLimit.currentLimit().Stricter(a.State) {
+		w.send(g, sentRequest{sentAt: w.clock(), term: a.Term, grant: a.Permit})
 	}
 }
 
 // ask asks the gateway's control node, and takes a permit of the gateway's own where none answers.
 func (w *limitedWorld) ask(g *worldGateway, within time.Duration, then func(ratelimit.Answer)) {
-	told := g.throttle.report()
+	told := g.sharedLimit.report()
 	ask := ratelimit.Ask{Server: "r", Word: told.word, Within: within}
 	done := false
 	end := func(a ratelimit.Answer) {
@@ -189,9 +189,9 @@
 		}
 		done = true
 		if a.Known {
-			g.throttle.take(w.clock(), a.State, a.Term, a.Version, told.heard)
+			g.sharedLimit.applyIssued(w.clock(), a.State, a.Term, a.Version, told.heard)
 		} else {
-			ask.Word = ratelimit.Word{State: g.throttle.state()}
+			ask.Word = ratelimit.Word{State: g.sharedLimit.currentLimit()}
 			a = g.standIn.Take(w.clock(), ask, ratelimit.GatewayShare(len(w.gateways)))
 		}
 		then(a)
@@ -247,7 +247,7 @@
 			cut := w.now >= g.node.cutFrom && w.now < g.node.cutTo
 			if d, lost := w.delay(); !lost && (!cut || g.node == from) {
 				w.after(d, func() {
-					if g.throttle.take(w.clock(), one.State, term, version, nil) {
+					if g.sharedLimit.applyIssued(w.clock(), one.State, term, version, nil) {
 						g.permitFrom = 0
 					}
 				})
@@ -268,7 +268,7 @@
 }
 
 // send lets a request arrive; its answer's head comes some time later.
-func (w *limitedWorld) send(g *worldGateway, by sending) {
+func (w *limitedWorld) send(g *worldGateway, by sentRequest) {
 	w.arrivals = append(w.arrivals, worldArrival{at: w.now, told: w.told(g)})
 	w.after(time.Duration(5+w.random.IntN(200))*time.Millisecond, func() {
 		said := w.named()
@@ -276,7 +276,7 @@
 		if lost {
 			return
 		}
-		w.after(d, func() { w.hear(g, said, by) })
+		w.after(d, func() { w.noteReply(g, said, by) })
 	})
 }
 
@@ -286,28 +286,28 @@
 	return named && g.toldAt >= since && w.now-g.toldAt >= worldTold
 }
 
-func (w *limitedWorld) hear(g *worldGateway, said RateLimit, by sending) {
+func (w *limitedWorld) noteReply(g *worldGateway, said RateLimit, by sentRequest) {
 	if w.now < g.stands {
-		w.after(g.stands-w.now, func() { w.hear(g, said, by) })
+		w.after(g.stands-w.now, func() { w.noteReply(g, said, by) })
 		return
 	}
 	if limit, since, _, named := w.limitAt(w.now); named && said == names(limit) && g.toldAt < since {
 		g.toldAt = w.now
 	}
-	by.answered = true
-	if g.throttle.hear(w.clock(), said, by) && g.throttle.beginReport() {
+	by.succeeded = true
+	if g.sharedLimit.noteReply(w.clock(), said, by) && g.sharedLimit.beginReport() {
 		w.tell(g)
 	}
 }
 
 // tell tells an issuer what was heard.
 func (w *limitedWorld) tell(g *worldGateway) {
-	heard := g.throttle.report().heard
+	heard := g.sharedLimit.report().heard
 	w.ask(g, -1, func(a ratelimit.Answer) {
 		if !a.Known && heard != nil {
-			g.throttle.settle(w.clock(), heard)
+			g.sharedLimit.applyUnconfirmed(w.clock(), heard)
 		}
-		if g.throttle.endReport(heard) {
+		if g.sharedLimit.endReport(heard) {
 			w.tell(g)
 		}
 	})
@@ -443,6 +443,6 @@
 	}
 	w.run(span, 50)
 	for _, g := range w.gateways {
-		is.True(!g.throttle.on.Load())
+		is.True(!g.sharedLimit.active.Load())
 	}
 }
--- a/src/exchange/load.go
+++ b/src/exchange/load.go
@@ -7,21 +7,21 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Replicas returns the number of replicas that are known.
+// Replicas returns the number of known replicas.
 func (f *Fleet) Replicas() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.peers)
 }
 
-// Loads returns what this gateway has under way at each replica that does not tell its
-// load itself.
+// Loads returns this gateway's requests in progress at each replica that does not report its own
+// load.
 func (f *Fleet) Loads() []wire.ReplicaLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var loads []wire.ReplicaLoad
 	for _, peer := range f.peers {
-		if f.tellers.has(peer.service) {
+		if f.loadReporters.has(peer.service) {
 			continue
 		}
 		if load, busy := peer.report(); busy {
@@ -31,7 +31,7 @@
 	return loads
 }
 
-// SetLoads takes in what all gateways have under way at each replica.
+// SetLoads sets the requests in progress of all gateways at each replica.
 func (f *Fleet) SetLoads(totals wire.LoadReport) {
 	now := f.now()
 	byReplica := make(map[string]wire.ReplicaLoad, len(totals.Loads))
@@ -45,50 +45,49 @@
 	}
 }
 
-// Sent notes that a replica is sent a request, with its prompt's parts if it has any and
-// how long the replica needs to read it.
+// Sent records that a request is sent to a replica, with the parts of its prompt, if any, and the
+// expected prefill time.
 func (f *Fleet) Sent(now time.Time, p *Peer, model string, parts []Part, prompt time.Duration) {
 	if model != "" {
 		p.mu.Lock()
 		p.parts.note(model, parts)
 		p.mu.Unlock()
 	}
-	if !f.tellers.has(p.service) {
-		f.sent.Raise()
+	if !f.loadReporters.has(p.service) {
+		f.requestSent.Raise()
 		return
 	}
 	if model != "" {
-		p.expect(now, prompt)
-		f.prompts.add(p.id, prompt)
+		p.addBacklog(now, prompt)
+		f.sentPrompts.add(p.id, prompt)
 	}
 }
 
-// Told takes in a replica's word on its load.
-func (f *Fleet) Told(now time.Time, p *Peer, load Load) {
+// UpdateLoad applies the load that a replica reported.
+func (f *Fleet) UpdateLoad(now time.Time, p *Peer, load Load) {
 	if !load.Known {
 		return
 	}
-	f.tellers.add(p.service)
-	p.told(now, load)
+	f.loadReporters.add(p.service)
+	p.updateLoad(now, load)
 }
 
-// tellers are the services whose replicas tell their load in answers. What all gateways
-// have under way there need not be shared: each answer says it anew.
-type tellers struct {
+// loadReporters is the set of services whose replicas report their load in responses. Gateways need
+// not share their requests in progress for these, since each response carries the current load.
+type loadReporters struct {
 	services sync.Map
 }
 
-func (t *tellers) has(service string) bool {
+func (t *loadReporters) has(service string) bool {
 	_, found := t.services.Load(service)
 	return found
 }
 
-func (t *tellers) add(service string) {
+func (t *loadReporters) add(service string) {
 	if !t.has(service) {
 		t.services.Store(service, true)
 	}
 }
 
-// RequestSent delivers when a request that the other gateways should know of has been
-// sent since it last did.
-func (f *Fleet) RequestSent() <-chan struct{} { return f.sent.Raised() }
+// RequestSent receives a value after a request was sent that the other gateways should know of.
+func (f *Fleet) RequestSent() <-chan struct{} { return f.requestSent.Raised() }
--- a/src/exchange/metrics.go
+++ b/src/exchange/metrics.go
@@ -8,36 +8,36 @@
 	"github.com/moorspool/moorspool/src/metric"
 )
 
-// Metrics are the handler's counters and histograms.
+// Metrics are the counters and histograms of the handler.
 type Metrics struct {
 	Requests tally.Counter
 	Refusals tally.Counter
 	Retries  tally.Counter
-	// Continued counts streams that went on from a copy of their run.
+	// Continued counts streams that were continued from a copy of their run.
 	Continued tally.Counter
-	// KeysRefused, QuotaSpent and Unsure count requests that were not admitted.
+	// KeysRefused, QuotaSpent and Undecided count requests that were not admitted.
 	KeysRefused tally.Counter
 	QuotaSpent  tally.Counter
-	Unsure      tally.Counter
-	// Endings counts what was told of ends of replicas under requests of this gateway: one end
-	// counts again where a connection was seen to break after it was proved.
-	Endings tally.Counter
-	// Quarantined counts the requests that were refused because replicas ended under others
+	Undecided   tally.Counter
+	// Crashes counts reports of replica crashes with requests of this gateway in flight. A crash
+	// counts again for each connection that is found broken after it was confirmed.
+	Crashes tally.Counter
+	// Quarantined counts requests that were refused because replicas crashed while running others
 	// with the same content.
 	Quarantined tally.Counter
-	// Backoffs counts the answers by which replicas asked this gateway to send nothing for a time.
+	// Backoffs counts responses that asked this gateway for a backoff.
 	Backoffs tally.Counter
-	// BackoffRefusals counts the requests that were refused because all replicas that could run
-	// them had asked for that.
+	// BackoffRefusals counts requests that were refused because no replica that could run them
+	// accepted requests.
 	BackoffRefusals tally.Counter
-	// PermitsLost counts the asks for permits for cold replicas that nobody answered.
+	// PermitsLost counts permit requests that no issuer answered.
 	PermitsLost tally.Counter
 	Latency     tally.Histogram
-	// Pause holds the longest pause between two events of each stream.
+	// Pause records the longest pause between two events of each stream.
 	Pause tally.Histogram
 }
 
-// NewMetrics registers the handler's metrics.
+// NewMetrics registers the metrics of the handler.
 func NewMetrics(registry *metric.Registry) *Metrics {
 	return &Metrics{
 		Requests: registry.Count("requests_total"),
@@ -47,9 +47,9 @@
 		Continued:   registry.Count("streams_continued_total"),
 		KeysRefused: registry.Count("keys_refused_total"),
 		QuotaSpent:  registry.Count("quota_spent_total"),
-		Unsure:      registry.Count("admissions_unsure_total"),
+		Undecided:   registry.Count("admissions_unsure_total"),
 
-		Endings:     registry.Count("replicas_ended_total"),
+		Crashes:     registry.Count("replicas_ended_total"),
 		Quarantined: registry.Count("quarantine_refusals_total"),
 
 		Backoffs:        registry.Count("backoffs_asked_total"),
@@ -61,7 +61,7 @@
 	}
 }
 
-// budgets are the retry budgets by service; they are safe for concurrent use.
+// budgets holds the retry budgets by service. It is safe for concurrent use.
 type budgets struct {
 	limits BudgetLimits
 	mu     *sync.Mutex
@@ -72,7 +72,7 @@
 	return budgets{limits: limits, mu: &sync.Mutex{}, known: map[string]*Budget{}}
 }
 
-func (b *budgets) of(service string) *Budget {
+func (b *budgets) get(service string) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.known[service]
--- a/src/exchange/pace.go
+++ b/src/exchange/pace.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Pacing. An engine reads prompts between the steps of the streams that run, so that
-// prompts sent together make all of them pause. A first event has time to spare, a
-// stream has less: prompts beyond what the pause allows wait here.
+// Pacing limits the prompts that are sent to an engine at the same time. An engine prefills prompts
+// between the decoding steps of its running streams, so prompts that arrive together make all
+// streams pause. The first event of a stream can wait longer than later ones, so prompts beyond the
+// allowed pause wait at the gateway.
 const (
-	// paceShare is the part of the allowed pause that unread prompts may take; the
-	// rest is for the streams' own steps and for what comes at the same moment. Chosen
-	// on tuhoe-keys: 0.35 and 0.7 measured no better there (docs/DECIDING.md).
-	paceShare = 0.5
-	// paceByPriority is the part of that which each further priority gives up, so that
-	// more urgent requests go first.
-	paceByPriority = 0.15
-	// paceHold is the part of its target that a request waits at most.
-	paceHold = 0.6
-	// pieceTokens is how much of a prompt an engine reads between two steps of its
-	// streams at most. It is a usual bound and that of the users' present engines; the
-	// configuration does not say it, so other engines may differ.
-	pieceTokens = 2048
-	// paceStep is how often a waiting request looks again.
-	paceStep = 4 * time.Millisecond
+	// maxBacklogShare is the share of the allowed pause that the prefill backlog may take. The rest
+	// is for the decoding steps of the streams and for prompts that arrive at the same time. In
+	// tests on tuhoe-keys, 0.35 and 0.7 were no better (docs/DECIDING.md).
+	maxBacklogShare = 0.5
+	// priorityShareStep is the share by which each lower priority reduces the allowed backlog, so
+	// that more urgent requests go first.
+	priorityShareStep = 0.15
+	// maxPaceWaitShare is the share of its target that a request waits at most.
+	maxPaceWaitShare = 0.6
+	// prefillChunkTokens is the number of prompt tokens that an engine reads between two decoding
+	// steps. It is a common default. The configuration has no setting for it, so other engines may
+	// differ.
+	prefillChunkTokens = 2048
+	// paceInterval is how often a waiting request checks again.
+	paceInterval = 4 * time.Millisecond
 )
 
-// paced reports whether a request should wait before it goes to the chosen replica.
-func (c *call) paced(now time.Time, choice Choice) bool {
-	if c.facts.Model == "" || c.route.GapTarget <= 0 || choice.Unread <= 0 {
+// mustPace reports whether a request should wait before it is sent to the chosen replica.
+func (c *call) mustPace(now time.Time, choice Choice) bool {
+	if c.facts.Model == "" || c.route.GapTarget <= 0 || choice.Backlog <= 0 {
 		return false
 	}
-	if !now.Before(c.began.Add(time.Duration(float64(c.route.Target) * paceHold))) {
+	if !now.Before(c.startedAt.Add(time.Duration(float64(c.route.Target) * maxPaceWaitShare))) {
 		return false
 	}
-	if !c.pausesTooLong(choice) {
+	if !c.canExceedGapTarget(choice) {
 		return false
 	}
-	share := paceShare * max(1-paceByPriority*float64(c.route.Priority), 0.25)
-	return choice.Unread+choice.ReadTime > time.Duration(float64(c.route.GapTarget)*share)
+	share := maxBacklogShare * max(1-priorityShareStep*float64(c.route.Priority), 0.25)
+	return choice.Backlog+choice.PrefillTime > time.Duration(float64(c.route.GapTarget)*share)
 }
 
-// pausesTooLong reports whether prompts can make a stream pause for too long at all: an
-// event holds the tokens of so many steps, each with one piece of a prompt before it.
-func (c *call) pausesTooLong(choice Choice) bool {
-	if c.eventTokens == 0 {
+// canExceedGapTarget reports whether prompts can make a stream pause for longer than the target at
+// all. An event holds the tokens of several decoding steps, and each step may follow one prefill
+// chunk.
+func (c *call) canExceedGapTarget(choice Choice) bool {
+	if c.tokensPerEvent == 0 {
 		return true
 	}
-	return time.Duration(c.eventTokens)*choice.PieceTime > c.route.GapTarget
+	return time.Duration(c.tokensPerEvent)*choice.ChunkTime > c.route.GapTarget
 }
 
-// sleep waits for a while; it reports false if the context ended first.
+// sleep waits for a duration. It returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/src/exchange/pace_test.go
+++ b/src/exchange/pace_test.go
@@ -14,29 +14,29 @@
 
 func pacedCall(priority int) *call {
 	return &call{
-		began: noon,
-		facts: Facts{Model: "m"},
-		route: &catalog.Route{Target: 400 * time.Millisecond, GapTarget: 250 * time.Millisecond, Priority: priority},
+		startedAt: noon,
+		facts:     Facts{Model: "m"},
+		route:     &catalog.Route{Target: 400 * time.Millisecond, GapTarget: 250 * time.Millisecond, Priority: priority},
 	}
 }
 
 func TestAPromptWaitsWhileOthersAreReadAsLongAsAPauseAllows(t *testing.T) {
 	is := is.New(t)
 	c := pacedCall(0)
-	is.True(!c.paced(noon, Choice{ReadTime: time.Second}))                                          // nothing is unread: waiting helps nobody
-	is.True(!c.paced(noon, Choice{Unread: 60 * time.Millisecond, ReadTime: 60 * time.Millisecond})) // both fit into a pause
-	is.True(c.paced(noon, Choice{Unread: 100 * time.Millisecond, ReadTime: 60 * time.Millisecond}))
+	is.True(!c.mustPace(noon, Choice{PrefillTime: time.Second}))                                           // nothing is unread: waiting helps nobody
+	is.True(!c.mustPace(noon, Choice{Backlog: 60 * time.Millisecond, PrefillTime: 60 * time.Millisecond})) // both fit into a pause
+	is.True(c.mustPace(noon, Choice{Backlog: 100 * time.Millisecond, PrefillTime: 60 * time.Millisecond}))
 	c.facts.Model = ""
-	is.True(!c.paced(noon, Choice{Unread: time.Second, ReadTime: time.Second})) // a plain service reads no prompts
+	is.True(!c.mustPace(noon, Choice{Backlog: time.Second, PrefillTime: time.Second})) // a plain service reads no prompts
 }
 
 func TestAPromptWaitsNoLongerThanItsOwnTargetAllows(t *testing.T) {
 	is := is.New(t)
 	c := pacedCall(0)
-	full := Choice{Unread: time.Second, ReadTime: 60 * time.Millisecond}
-	hold := time.Duration(float64(c.route.Target) * paceHold)
-	is.True(c.paced(noon.Add(hold-1), full))
-	is.True(!c.paced(noon.Add(hold), full))
+	full := Choice{Backlog: time.Second, PrefillTime: 60 * time.Millisecond}
+	hold := time.Duration(float64(c.route.Target) * maxPaceWaitShare)
+	is.True(c.mustPace(noon.Add(hold-1), full))
+	is.True(!c.mustPace(noon.Add(hold), full))
 }
 
 // TestNothingWaitsWherePromptsCannotMakePausesTooLong: an event of two tokens has room
@@ -44,20 +44,20 @@
 func TestNothingWaitsWherePromptsCannotMakePausesTooLong(t *testing.T) {
 	is := is.New(t)
 	c := pacedCall(0)
-	full := Choice{Unread: time.Second, ReadTime: 60 * time.Millisecond, PieceTime: 50 * time.Millisecond}
-	c.eventTokens = 6
-	is.True(c.paced(noon, full)) // 300 ms of pieces in an event, 250 allowed
-	c.eventTokens = 2
-	is.True(!c.paced(noon, full))
-	c.eventTokens = 0
-	is.True(c.paced(noon, full)) // not known: careful
+	full := Choice{Backlog: time.Second, PrefillTime: 60 * time.Millisecond, ChunkTime: 50 * time.Millisecond}
+	c.tokensPerEvent = 6
+	is.True(c.mustPace(noon, full)) // 300 ms of pieces in an event, 250 allowed
+	c.tokensPerEvent = 2
+	is.True(!c.mustPace(noon, full))
+	c.tokensPerEvent = 0
+	is.True(c.mustPace(noon, full)) // not known: careful
 }
 
 func TestMoreUrgentPromptsGoFirst(t *testing.T) {
 	is := is.New(t)
-	between := Choice{Unread: 60 * time.Millisecond, ReadTime: 50 * time.Millisecond}
-	is.True(!pacedCall(0).paced(noon, between))
-	is.True(pacedCall(2).paced(noon, between))
+	between := Choice{Backlog: 60 * time.Millisecond, PrefillTime: 50 * time.Millisecond}
+	is.True(!pacedCall(0).mustPace(noon, between))
+	is.True(pacedCall(2).mustPace(noon, between))
 }
 
 // TestPromptsOfOtherGatewaysCount: answers tell no load, and a gateway by itself
@@ -66,28 +66,28 @@
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetLoads(wire.LoadReport{Loads: []wire.ReplicaLoad{{Replica: "a", Running: 3, UnreadMS: 300}}})
-	want := Want{Service: "s", Model: "m", Prompt: 500}
+	want := Requirements{Service: "s", Model: "m", PromptLength: 500}
 	is.Equal(picks(f, noon, want), map[string]int{"b": 50})
 	f.peers["b"].failed(noon, true)
-	is.Equal(f.Pick(noon, want, nil).Unread, 300*time.Millisecond)
-	is.True(picks(f, noon.Add(othersFresh), want)["a"] > 0) // an old word counts no more
+	is.Equal(f.Pick(noon, want, nil).Backlog, 300*time.Millisecond)
+	is.True(picks(f, noon.Add(otherGatewaysLoadTTL), want)["a"] > 0) // an old word counts no more
 }
 
 // TestOwnRequestsAreNotCountedTwice: the totals contain what this gateway reported.
 func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a")
-	f.peers["a"].begin(100 * time.Millisecond)
+	f.peers["a"].startRequest(100 * time.Millisecond)
 	is.Equal(f.Loads(), []wire.ReplicaLoad{{Replica: "a", Running: 1, UnreadMS: 100}})
 	f.SetLoads(wire.LoadReport{Loads: []wire.ReplicaLoad{{Replica: "a", Running: 3, UnreadMS: 160}}})
-	look := f.peers["a"].outlook(noon)
+	look := f.peers["a"].loadEstimate(noon)
 	is.Equal(look.running, 3)
-	is.Equal(look.unread, 160*time.Millisecond)
+	is.Equal(look.backlog, 160*time.Millisecond)
 	f.peers["a"].read(100 * time.Millisecond)
-	f.peers["a"].end()
-	look = f.peers["a"].outlook(noon)
+	f.peers["a"].finishRequest()
+	look = f.peers["a"].loadEstimate(noon)
 	is.Equal(look.running, 2)
-	is.Equal(look.unread, 60*time.Millisecond)
+	is.Equal(look.backlog, 60*time.Millisecond)
 }
 
 // TestARequestWhoseClientLeftWhileItWaitedReachesNoReplica: the wait ends at once.
@@ -99,7 +99,7 @@
 	r.Target = time.Minute
 	b := newBench(t, r, a)
 	is.Equal(b.do("POST", "earlier", "x", testModel+": m").status, 200) // leaves an idle connection
-	b.fleet.peers["a"].begin(r.Target / 2)                              // read in time, but with pauses for others
+	b.fleet.peers["a"].startRequest(r.Target / 2)                       // read in time, but with pauses for others
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan got, 1)
 	go func() { ended <- b.doIn(ctx, "POST", "one", "x", testModel+": m") }()
@@ -119,16 +119,16 @@
 func TestBacklogsOfReplicasThatTellTheirLoad(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
-	f.Told(noon, f.peers["b"], Load{Known: true, Running: 1, Slots: 64})
+	f.UpdateLoad(noon, f.peers["b"], Load{Known: true, Running: 1, Slots: 64})
 	totals := loadview.NewBacklog()
 	totals.Add(noon, []wire.Sent{{Replica: "a", ReadMS: 300}}, false)
 	f.SetBacklogs(totals.Totals(noon))
-	want := Want{Service: "s", Model: "m", Prompt: 500}
+	want := Requirements{Service: "s", Model: "m", PromptLength: 500}
 	is.Equal(picks(f, noon, want), map[string]int{"b": 50})
-	is.Equal(f.peers["a"].outlook(noon).unread, 300*time.Millisecond)
-	is.Equal(f.peers["a"].outlook(noon.Add(200*time.Millisecond)).unread, 100*time.Millisecond) // it reads on
+	is.Equal(f.peers["a"].loadEstimate(noon).backlog, 300*time.Millisecond)
+	is.Equal(f.peers["a"].loadEstimate(noon.Add(200*time.Millisecond)).backlog, 100*time.Millisecond) // it reads on
 	f.Sent(noon, f.peers["a"], "m", nil, 50*time.Millisecond)
-	is.Equal(f.peers["a"].outlook(noon).unread, 350*time.Millisecond)
+	is.Equal(f.peers["a"].loadEstimate(noon).backlog, 350*time.Millisecond)
 	is.Equal(f.DrainPrompts().Sent, []wire.Sent{{Replica: "a", ReadMS: 50}})
 	is.Equal(len(f.DrainPrompts().Sent), 0)
 }
--- a/src/exchange/parts_test.go
+++ b/src/exchange/parts_test.go
@@ -17,7 +17,7 @@
 	first := []Part{{ID: "first", Tokens: 7}}
 	is.Equal(c.cached("m", first), 0)
 	c.note("m", first)
-	for i := range partSlots - 1 {
+	for i := range maxCachedParts - 1 {
 		c.note("m", []Part{{ID: strconv.Itoa(i), Tokens: 1}})
 	}
 	is.Equal(c.cached("m", first), 7)
@@ -25,11 +25,11 @@
 	c.note("m", []Part{{ID: "one more", Tokens: 1}})
 	is.Equal(c.cached("m", first), 0)
 	c.note("m", first)
-	for i := range partSlots - 1 {
+	for i := range maxCachedParts - 1 {
 		c.note("m", []Part{{ID: "later " + strconv.Itoa(i), Tokens: 1}})
 	}
 	is.Equal(c.cached("m", first), 7)
-	is.Equal(len(c.known), partSlots)
+	is.Equal(len(c.known), maxCachedParts)
 }
 
 // TestAReplicaThatWasSentNothingCostsLittle: a gateway of thousands of replicas kept room
--- a/src/exchange/pause.go
+++ b/src/exchange/pause.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// pauses notes the longest wait between two events of a stream, as they come from
-// replicas: it decides whether a stream was in time, and tells whose fault it was.
+// pauses records the longest pause between two events of a stream as they arrive from replicas. It
+// determines whether the stream met its target and which replica caused the pause.
 type pauses struct {
 	last    time.Time
 	events  int
 	longest time.Duration
-	// endedAt is when the longest pause ended, replica where the stream ran then.
+	// endedAt is when the longest pause ended, replica the replica that ran the stream then.
 	endedAt time.Time
 	replica string
 }
 
-// note takes in that events came from a replica.
+// note records that events arrived from a replica.
 func (p *pauses) note(now time.Time, replica string) {
 	if pause := now.Sub(p.last); p.events > 0 && pause > p.longest {
 		p.longest, p.endedAt, p.replica = pause, now, replica
@@ -25,7 +25,7 @@
 	p.events++
 }
 
-// String describes the longest pause for the request's line in the log.
+// String describes the longest pause for the request's log line.
 func (p *pauses) String() string {
 	if p.longest == 0 {
 		return "0 ms"
--- a/src/exchange/peer.go
+++ b/src/exchange/peer.go
@@ -10,90 +10,91 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// The times of avoiding a replica that failed.
+// Times for ejecting a failed replica and for trusting reports.
 const (
-	ejectFirst = 400 * time.Millisecond
-	ejectMost  = 4 * time.Second
-	// loadFresh is how long a replica's word on its load counts in full.
-	loadFresh = 500 * time.Millisecond
-	// othersFresh is how long what other gateways have under way counts: most requests
-	// of a busy model last about as long.
-	othersFresh = time.Second
-	// absentFor is how long a replica's word that it lacks a copy counts.
-	absentFor = 400 * time.Millisecond
-	// failureDecay is the weight of each new outcome in the share of failures.
-	failureDecay = 0.15
+	minEjection = 400 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// replicaLoadTTL is how long the load reported by a replica is used.
+	replicaLoadTTL = 500 * time.Millisecond
+	// otherGatewaysLoadTTL is how long the requests in progress at other gateways are used. Most
+	// requests to a busy model take about as long.
+	otherGatewaysLoadTTL = time.Second
+	// missingCopyTTL is how long a replica's report that it lacks a copy is used.
+	missingCopyTTL = 400 * time.Millisecond
+	// failureWeight is the weight of the latest result in the failure share.
+	failureWeight = 0.15
 )
 
-// Peer is one incarnation of a replica as this gateway knows it; it is safe for
-// concurrent use.
+// Peer is one incarnation of a replica as known to this gateway. It is safe for concurrent use.
 type Peer struct {
-	id      string
-	service string
-	pool    *pool
-	intake  *intake
-	// saidAfter is how many connections had broken when the replica last asked to be sent nothing, or
-	// to be sent less.
-	saidAfter atomic.Int64
-	// coldUntil is until when the replica is cold, permitFrom from when on it may get a request, as
-	// was told last, in nanoseconds of the clock that counts suspensions; 0 for neither.
-	coldUntil  atomic.Int64
-	permitFrom atomic.Int64
-	// throttle is the limit that the replica names.
-	throttle *throttle
+	id           string
+	service      string
+	pool         *pool
+	backoffState *backoffState
+	// brokenAtRequest is the number of broken connections when the replica last asked for a backoff
+	// or a limit.
+	brokenAtRequest atomic.Int64
+	// coldUntil is until when the replica is cold. nextPermitAt is the earliest time at which it
+	// may get a request by the issuer's last reply. Both are in nanoseconds on the clock that
+	// counts while the host is suspended, 0 if not set.
+	coldUntil    atomic.Int64
+	nextPermitAt atomic.Int64
+	// sharedLimit is the rate limit that the replica named.
+	sharedLimit *sharedLimit
 
 	mu     sync.Mutex
 	record registry.Record
-	// running are this gateway's own requests under way, unread is how long the
-	// replica needs for those prompts among them that are not known to be read yet.
+	// running is the number of this gateway's requests in progress. backlog is the expected prefill
+	// time of those prompts among them that are not known to be read yet.
 	running int
-	unread  time.Duration
-	// readAt is until when the replica is expected to read the prompts of all gateways,
-	// if it tells its load, which does not say that.
-	readAt time.Time
-	// reported is what the other gateways were last told of these, and others what
-	// they have under way themselves, as of othersAt.
-	reported wire.ReplicaLoad
-	others   wire.ReplicaLoad
-	othersAt time.Time
-	load     Load
-	loadAt   time.Time
-	// sentSince counts this gateway's requests sent after the load was told.
-	sentSince int
-	failures  int
-	ejected   time.Time
-	// absent are copies that the replica said it does not have, with until when
-	// its word goes before the control nodes'.
-	absent map[copyKey]time.Time
-	// failing is the recent share of requests that came to nothing here.
-	failing float64
-	parts   partCache
+	backlog time.Duration
+	// prefillDoneAt is when the replica is expected to have prefilled the prompts of all gateways.
+	// It is used for replicas that report their load, which does not include the prefill backlog.
+	prefillDoneAt time.Time
+	// reported is what this gateway last reported to the others. otherGateways is the load of the
+	// other gateways as of otherGatewaysAt.
+	reported        wire.ReplicaLoad
+	otherGateways   wire.ReplicaLoad
+	otherGatewaysAt time.Time
+	load            Load
+	loadAt          time.Time
+	// sentSinceLoad counts this gateway's requests sent after the load was reported.
+	sentSinceLoad int
+	failures      int
+	ejected       time.Time
+	// missingCopies holds the copies that the replica reported not to have, with the time until
+	// which this overrides the control nodes' list.
+	missingCopies map[copyKey]time.Time
+	// failureShare is the recent share of failed requests.
+	failureShare float64
+	parts        partCache
 }
 
 func newPeer(record registry.Record, dial dialFunc) *Peer {
-	return &Peer{id: record.ID, service: record.Service, record: record, pool: newPool(record.Address, dial), intake: &intake{}, throttle: &throttle{}}
+	return &Peer{id: record.ID, service: record.Service, record: record, pool: newPool(record.Address, dial), backoffState: &backoffState{}, sharedLimit: &sharedLimit{}}
 }
 
-// ID returns the incarnation's ID.
+// ID returns the ID of the incarnation.
 func (p *Peer) ID() string { return p.id }
 
-// name returns what the replica calls itself.
+// name returns the replica's name for itself.
 func (p *Peer) name() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.record.ReplicaName()
 }
 
-// slots returns how many requests the replica works on at once.
+// slots returns how many requests the replica runs at once.
 func (p *Peer) slots() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(p.record.Slots, 1)
 }
 
-// leaving reports whether the replica said that it leaves, to a control node or in an answer.
+// leaving reports whether the replica announced to a control node or in a response that it is
+// leaving.
 func (p *Peer) leaving() bool {
-	if p.intake.left() {
+	if p.backoffState.isLeaving() {
 		return true
 	}
 	p.mu.Lock()
@@ -108,149 +109,148 @@
 	return p.record.Zone
 }
 
-// begin counts a request as under way; prompt is how long the replica needs to read it.
-func (p *Peer) begin(prompt time.Duration) {
+// startRequest counts a request as in progress; prompt is its expected prefill time.
+func (p *Peer) startRequest(prompt time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running++
-	p.unread += prompt
-	p.sentSince++
+	p.backlog += prompt
+	p.sentSinceLoad++
 }
 
-// read counts a request's prompt as read: its first event has come.
+// read counts the prompt of a request as read, since its first event has arrived.
 func (p *Peer) read(prompt time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unread -= prompt
+	p.backlog -= prompt
 }
 
-// report returns what this gateway has under way here, and false if that is nothing
-// now and was nothing at the last report.
+// report returns this gateway's requests in progress, and whether there are any.
 func (p *Peer) report() (wire.ReplicaLoad, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reported = wire.ReplicaLoad{Replica: p.id, Running: p.running, UnreadMS: int(p.unread.Milliseconds())}
+	p.reported = wire.ReplicaLoad{Replica: p.id, Running: p.running, UnreadMS: int(p.backlog.Milliseconds())}
 	return p.reported, p.running > 0
 }
 
-// setTotal takes in what all gateways have under way here. What this one reported
-// last is taken off; the rest is the others'.
+// setTotal sets the load of all gateways. The load that this gateway last reported is subtracted
+// from it.
 func (p *Peer) setTotal(now time.Time, total wire.ReplicaLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.others = wire.ReplicaLoad{
+	p.otherGateways = wire.ReplicaLoad{
 		Running:  max(total.Running-p.reported.Running, 0),
 		UnreadMS: max(total.UnreadMS-p.reported.UnreadMS, 0),
 	}
-	p.othersAt = now
+	p.otherGatewaysAt = now
 }
 
-// expect counts a prompt that the replica is sent now, as the other gateways do.
-func (p *Peer) expect(now time.Time, prompt time.Duration) {
+// addBacklog adds the prefill time of a prompt that is sent now, as the other gateways do.
+func (p *Peer) addBacklog(now time.Time, prompt time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.readAt = loadview.After(now, p.readAt, prompt)
+	p.prefillDoneAt = loadview.After(now, p.prefillDoneAt, prompt)
 }
 
-// setBacklog takes in how long the replica needs for the prompts of all gateways.
+// setBacklog sets the prefill time of the prompts of all gateways.
 func (p *Peer) setBacklog(now time.Time, backlog time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.readAt = now.Add(backlog)
+	p.prefillDoneAt = now.Add(backlog)
 }
 
-// end counts a request as over.
-func (p *Peer) end() {
+// finishRequest counts a request as finished.
+func (p *Peer) finishRequest() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
 }
 
-// told takes in the replica's word on its load.
-func (p *Peer) told(now time.Time, load Load) {
+// updateLoad sets the load that the replica reported.
+func (p *Peer) updateLoad(now time.Time, load Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.load = load
 	p.loadAt = now
-	p.sentSince = 0
+	p.sentSinceLoad = 0
 }
 
-// succeeded notes a good answer.
+// succeeded records a successful request.
 func (p *Peer) succeeded() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures = 0
 	p.ejected = time.Time{}
-	p.failing *= 1 - failureDecay
+	p.failureShare *= 1 - failureWeight
 }
 
-// failed notes that the replica did not answer or answered badly; unreachable
-// ones are avoided for a while. It returns how long, 0 if not.
+// failed records a failed request. An unreachable replica is ejected for a while; failed returns
+// for how long, 0 if it is not ejected.
 func (p *Peer) failed(now time.Time, unreachable bool) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.failing += (1 - p.failing) * failureDecay
+	p.failureShare += (1 - p.failureShare) * failureWeight
 	if !unreachable {
 		return 0
 	}
-	pause := min(ejectFirst<<min(p.failures, 8), ejectMost)
+	pause := min(minEjection<<min(p.failures, 8), maxEjection)
 	p.failures++
 	p.ejected = now.Add(pause)
 	return pause
 }
 
-// lacks notes that the replica said that it does not have a copy.
-func (p *Peer) lacks(now time.Time, model, adapter string) {
+// noteMissingCopy records that the replica reported not to have a copy.
+func (p *Peer) noteMissingCopy(now time.Time, model, adapter string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.absent == nil {
-		p.absent = map[copyKey]time.Time{}
+	if p.missingCopies == nil {
+		p.missingCopies = map[copyKey]time.Time{}
 	}
-	p.absent[copyKey{model: model, adapter: adapter}] = now.Add(absentFor)
+	p.missingCopies[copyKey{model: model, adapter: adapter}] = now.Add(missingCopyTTL)
 }
 
-// lacking reports whether the replica lately said that it does not have a copy.
-func (p *Peer) lacking(now time.Time, key copyKey) bool {
+// lacksCopy reports whether the replica recently reported not to have a copy.
+func (p *Peer) lacksCopy(now time.Time, key copyKey) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	until, found := p.absent[key]
+	until, found := p.missingCopies[key]
 	if found && !now.Before(until) {
-		delete(p.absent, key)
+		delete(p.missingCopies, key)
 		return false
 	}
 	return found
 }
 
-// outlook is what a choice sees of a peer.
-type outlook struct {
+// loadEstimate is the state of a peer on which a choice is based.
+type loadEstimate struct {
 	running int
 	waiting int
 	slots   int
-	// unread is how long the replica needs for the prompts that it was sent.
-	unread  time.Duration
-	failing float64
-	loadAge time.Duration
-	ejected bool
+	// backlog is the expected prefill time of the prompts that were sent to the replica.
+	backlog      time.Duration
+	failureShare float64
+	loadAge      time.Duration
+	ejected      bool
 }
 
-// outlook returns the peer's load as far as it is known: its last word and what
-// was sent since, or this gateway's own requests if that is more.
-func (p *Peer) outlook(now time.Time) outlook {
+// loadEstimate estimates the peer's load from its last report and the requests sent since, or from
+// the known requests of all gateways if that is more.
+func (p *Peer) loadEstimate(now time.Time) loadEstimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := outlook{running: p.running, slots: max(p.record.Slots, 1), unread: p.unread, failing: p.failing, ejected: now.Before(p.ejected), loadAge: -1}
-	if age := now.Sub(p.othersAt); age < othersFresh {
-		o.running += p.others.Running
-		o.unread += time.Duration(p.others.UnreadMS) * time.Millisecond
+	o := loadEstimate{running: p.running, slots: max(p.record.Slots, 1), backlog: p.backlog, failureShare: p.failureShare, ejected: now.Before(p.ejected), loadAge: -1}
+	if age := now.Sub(p.otherGatewaysAt); age < otherGatewaysLoadTTL {
+		o.running += p.otherGateways.Running
+		o.backlog += time.Duration(p.otherGateways.UnreadMS) * time.Millisecond
 		o.loadAge = age
 	}
-	o.unread = max(o.unread, p.readAt.Sub(now))
+	o.backlog = max(o.backlog, p.prefillDoneAt.Sub(now))
 	if p.load.Known && (o.loadAge < 0 || now.Sub(p.loadAt) < o.loadAge) {
 		o.loadAge = now.Sub(p.loadAt)
 	}
-	if p.load.Known && now.Sub(p.loadAt) < loadFresh {
+	if p.load.Known && now.Sub(p.loadAt) < replicaLoadTTL {
 		o.waiting = p.load.Waiting
-		o.running = max(o.running, p.load.Running+p.sentSince)
+		o.running = max(o.running, p.load.Running+p.sentSinceLoad)
 		if p.load.Slots > 0 {
 			o.slots = p.load.Slots
 		}
--- a/src/exchange/permit.go
+++ b/src/exchange/permit.go
@@ -8,119 +8,125 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Permits issues the permits without which nothing is sent to a replica that takes only so many
-// requests over all gateways: a cold one of a service that bounds that, and one that names a limit.
+// Permits issues the permits that are needed to send requests to replicas with a rate limit over
+// all gateways: cold replicas of services with a cold rate, and replicas that name a limit.
 type Permits struct {
-	// Ask waits for a permit; nil if nobody issues any, and then nothing is sent to such a replica.
+	// Ask waits for a permit. If it is nil, no permits are issued and such replicas get no
+	// requests.
 	Ask func(ctx context.Context, request wire.PermitRequest) (wire.PermitReply, error)
 }
 
 const (
-	// permitCost is what the ask for a permit adds to a choice, in milliseconds: a round trip to the
+	// permitCostMS is the cost in milliseconds of asking for a permit: one round trip to the
 	// leader.
-	permitCost = 5.0
-	// permitTimeout bounds an ask: a permit that comes later would be of little use.
+	permitCostMS = 5.0
+	// permitTimeout limits the wait for the issuer's reply. A permit that arrives later would be
+	// nearly expired.
 	permitTimeout = ratelimit.Life / 2
-	// permitShare is the part of its target that a request waits for a permit. The wait is told
-	// beforehand, so that no request waits in vain.
-	permitShare = 0.5
-	// permitLost is how long a replica is left alone for which there was no permit, nor anybody who
-	// could say when there is one.
-	permitLost = 200 * time.Millisecond
-	// maxPermitAsks is for how many replicas a request asks before it looks only at those that need
-	// no permit.
-	maxPermitAsks = 2
+	// maxPermitWaitShare is the share of its target that a request waits for a permit. The issuer
+	// announces the wait in advance, so a request whose wait would be longer does not wait at all.
+	maxPermitWaitShare = 0.5
+	// permitRetryDelay is how long a replica is not chosen after no issuer could grant a permit or
+	// say when there will be one.
+	permitRetryDelay = 200 * time.Millisecond
+	// maxPermitRequests is the number of replicas for which a request asks for a permit. After that
+	// it considers only replicas that need none.
+	maxPermitRequests = 2
 )
 
-// sendPermit lets one request go to a replica.
+// sendPermit allows one request to be sent to a replica.
 type sendPermit struct {
 	peer  *Peer
 	until time.Time
-	// limit is the replica's as the permit was issued.
+	// limit is the replica's limit when the permit was issued.
 	limit ratelimit.State
-	// term and number are the issuer's, 0 for a permit of a stand-in.
+	// term and number identify the permit; they are 0 if the gateway issued it locally.
 	term, number uint64
 }
 
-// covers reports whether a request may be sent with it now. Permits that were issued ahead, before a
-// lower limit was named, would all be used after it.
+// covers reports whether the permit allows sending a request to the replica now. A permit that was
+// issued before a lower limit was named is invalid; otherwise all permits issued in advance would
+// still be used.
 func (p *sendPermit) covers(now time.Time, peer *Peer) bool {
-	return p.peer == peer && now.Before(p.until) && !peer.throttle.state().Stricter(p.limit)
+	return p.peer == peer && now.Before(p.until) && !peer.sharedLimit.currentLimit().Stricter(p.limit)
 }
 
-// needsPermit reports whether a replica must not be sent a request without a permit.
-func (f *Fleet) needsPermit(peer *Peer) bool { return peer.throttle.on.Load() || f.cold(peer) }
+// needsPermit reports whether requests to a replica need a permit.
+func (f *Fleet) needsPermit(peer *Peer) bool { return peer.sharedLimit.active.Load() || f.isCold(peer) }
 
-// permitIn returns how long a request for a replica has to wait at the least for a permit, as far as
-// is known.
-func (f *Fleet) permitIn(peer *Peer) time.Duration {
-	return max(time.Duration(peer.permitFrom.Load()-f.bootNow().UnixNano()), 0)
+// minPermitWait returns the minimum time that a request for a replica has to wait for a permit, as
+// far as this is known.
+func (f *Fleet) minPermitWait(peer *Peer) time.Duration {
+	return max(time.Duration(peer.nextPermitAt.Load()-f.bootNow().UnixNano()), 0)
 }
 
-// permitWithin is how long the request can wait for a permit, below 0 if it is to ask for none.
-func (c *call) permitWithin(now time.Time) time.Duration {
-	if c.permitAsks >= maxPermitAsks {
+// maxPermitWait returns how long the request can wait for a permit. It is negative if the request
+// must not ask for one.
+func (c *call) maxPermitWait(now time.Time) time.Duration {
+	if c.permitRequests >= maxPermitRequests {
 		return -1
 	}
-	by := c.began.Add(time.Duration(float64(c.route.Target) * permitShare))
+	by := c.startedAt.Add(time.Duration(float64(c.route.Target) * maxPermitWaitShare))
 	return max(min(by.Sub(now), ratelimit.Ahead), 0)
 }
 
-// permitted reports whether the request may go to a chosen replica. One that needs a permit is asked
-// for it, and waits for its time.
+// permitted reports whether the request may be sent to the chosen replica. If a permit is needed,
+// it asks for one and waits until it becomes valid.
 func (c *call) permitted(ctx context.Context, peer *Peer, within time.Duration) bool {
 	fleet := c.handler.options.Fleet
 	if !fleet.needsPermit(peer) || c.sendPermit.covers(fleet.bootNow(), peer) {
 		return true
 	}
-	c.permitAsks++
+	c.permitRequests++
 	asked := fleet.bootNow()
-	answer := c.handler.askPermit(ctx, peer, within, c.priority())
+	answer := c.handler.requestPermit(ctx, peer, within, c.priority())
 	switch {
 	case !fleet.needsPermit(peer):
-		// The issuer knows that the replica takes all again.
+		// The issuer knows that the replica is no longer limited.
 		return true
 	case !answer.Known:
-		peer.permitFrom.Store(fleet.bootNow().Add(permitLost).UnixNano())
+		peer.nextPermitAt.Store(fleet.bootNow().Add(permitRetryDelay).UnixNano())
 		return false
 	case !answer.Granted:
-		peer.permitFrom.Store(fleet.bootNow().Add(answer.Wait).UnixNano())
+		peer.nextPermitAt.Store(fleet.bootNow().Add(answer.Wait).UnixNano())
 		return false
 	}
 	if !sleep(ctx, answer.Wait) {
 		return false
 	}
 	c.permitWait += answer.Wait
-	// By the time of the asking: the answer may have been on its way for long.
+	// The expiry counts from the request for the permit, since the reply may have been delayed.
 	c.sendPermit = sendPermit{peer: peer, until: asked.Add(answer.Wait + ratelimit.Life), limit: answer.State, term: answer.Term, number: answer.Permit}
 	return c.sendPermit.covers(fleet.bootNow(), peer)
 }
 
-// rationed chooses a replica for which there is a permit at once. Places are assigned at the others only,
-// so that what the cold and limited ones take would be left unused.
-func (c *call) rationed(ctx context.Context, now time.Time, want Want) (Choice, bool) {
-	want.Rationed, want.PermitWithin = true, 0
+// pickWithPermit chooses a replica for which a permit is available at once. Slots are only assigned
+// at replicas that need no permit, so the capacity of cold and limited replicas would otherwise be
+// unused.
+func (c *call) pickWithPermit(ctx context.Context, now time.Time, want Requirements) (Choice, bool) {
+	want.PermitOnly, want.MaxPermitWait = true, 0
 	choice := c.handler.options.Fleet.Pick(now, want, c.tried)
 	if choice.Verdict != Chosen {
 		return choice, false
 	}
 	permitted := c.permitted(ctx, choice.Peer, 0)
-	c.permitAsks = 0
+	c.permitRequests = 0
 	return choice, permitted
 }
 
-// askPermit asks for a permit and takes in what the issuer knows of the replica's limit; within below
-// 0 only tells it what is known here. Where no issuer answers, the gateway has a share of the rate.
-func (h *Handler) askPermit(ctx context.Context, peer *Peer, within time.Duration, priority int) ratelimit.Answer {
+// requestPermit asks for a permit and applies the issuer's limit of the replica. A negative maxWait
+// only reports the known limit. If no issuer replies, the gateway issues permits from its own share
+// of the rate.
+func (h *Handler) requestPermit(ctx context.Context, peer *Peer, maxWait time.Duration, priority int) ratelimit.Answer {
 	if h.options.Permits.Ask == nil {
 		return ratelimit.Answer{}
 	}
-	report := peer.throttle.report()
+	report := peer.sharedLimit.report()
 	request := wire.PermitRequest{
-		Service: peer.service, Replica: peer.ID(), WithinMS: within.Milliseconds(), Priority: priority, Warm: !h.options.Fleet.cold(peer),
+		Service: peer.service, Replica: peer.ID(), WithinMS: maxWait.Milliseconds(), Priority: priority, Warm: !h.options.Fleet.isCold(peer),
 		Limited: report.word.Limited, PerSecond: report.word.PerSecond, Heard: report.word.Heard, Term: report.word.Term, Permit: report.word.Permit,
 	}
-	if within < 0 {
+	if maxWait < 0 {
 		request.WithinMS = -1
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
@@ -128,31 +134,31 @@
 	reply, err := h.options.Permits.Ask(ctx, request)
 	if err != nil || !reply.Known || !reply.Limits && report.word.Limited {
 		h.options.Metrics.PermitsLost.Inc(1)
-		return h.standInFor(peer, within, priority)
+		return h.issueLocalPermit(peer, maxWait, priority)
 	}
 	answer := ratelimit.Answer{
 		Known: true, Granted: reply.Granted, Wait: time.Duration(reply.WaitUS) * time.Microsecond,
 		State: ratelimit.State{Limited: reply.Limited, PerSecond: reply.PerSecond}, Term: reply.Term, Version: reply.Version, Permit: reply.Permit,
 	}
 	if reply.Limits {
-		h.options.Fleet.takeLimit(peer, answer.State, answer.Term, answer.Version, report.heard)
+		h.options.Fleet.applyIssuedLimit(peer, answer.State, answer.Term, answer.Version, report.heard)
 	}
 	return answer
 }
 
-// standInFor takes a permit of the gateway's own share of the rate.
-func (h *Handler) standInFor(peer *Peer, within time.Duration, priority int) ratelimit.Answer {
+// issueLocalPermit takes a permit from the gateway's own share of the rate.
+func (h *Handler) issueLocalPermit(peer *Peer, maxWait time.Duration, priority int) ratelimit.Answer {
 	fleet := h.options.Fleet
-	ask := ratelimit.Ask{Server: peer.ID(), Word: ratelimit.Word{State: peer.throttle.state()}, Within: within, Priority: priority}
-	if fleet.cold(peer) {
+	ask := ratelimit.Ask{Server: peer.ID(), Word: ratelimit.Word{State: peer.sharedLimit.currentLimit()}, Within: maxWait, Priority: priority}
+	if fleet.isCold(peer) {
 		ask.Cold = fleet.coldRate(peer.service)
 	}
-	return h.standIn.Take(fleet.bootNow(), ask, ratelimit.GatewayShare(h.Gateways()))
+	return h.localIssuer.Take(fleet.bootNow(), ask, ratelimit.GatewayShare(h.Gateways()))
 }
 
-// spendsPermit reports whether a request that is sent now may go to a replica, and uses its permit up
-// if the replica needs one. A permit that is used up counts as sent, whatever becomes of the send.
-func (c *call) spendsPermit(peer *Peer) bool {
+// usePermit reports whether a request may be sent to a replica now, and uses its permit if the
+// replica needs one. The permit counts as used even if the send fails.
+func (c *call) usePermit(peer *Peer) bool {
 	fleet := c.handler.options.Fleet
 	if !fleet.needsPermit(peer) {
 		return true
--- a/src/exchange/place_test.go
+++ b/src/exchange/place_test.go
@@ -127,7 +127,7 @@
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), x)
-	b.fleet.peers["x"].begin(4 * time.Second)
+	b.fleet.peers["x"].startRequest(4 * time.Second)
 	got := b.do("GET", "one", "", testModel+": m")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
--- a/src/exchange/prompts.go
+++ b/src/exchange/prompts.go
@@ -9,26 +9,26 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// prompts are those sent to replicas that tell their load themselves: what they do not
-// tell is how much they have still to read.
-type prompts struct {
+// sentPrompts records the prefill times of prompts that were sent to replicas which report their
+// own load. Their reports do not include the prefill backlog.
+type sentPrompts struct {
 	mu      sync.Mutex
 	sent    map[string]time.Duration
 	changed wakeup.Flag
 }
 
-func newPrompts() *prompts {
-	return &prompts{sent: map[string]time.Duration{}, changed: wakeup.New()}
+func newSentPrompts() *sentPrompts {
+	return &sentPrompts{sent: map[string]time.Duration{}, changed: wakeup.New()}
 }
 
-func (s *prompts) add(replica string, prompt time.Duration) {
+func (s *sentPrompts) add(replica string, prompt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent[replica] += prompt
 	s.changed.Raise()
 }
 
-func (s *prompts) drain() wire.SentReport {
+func (s *sentPrompts) drain() wire.SentReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var report wire.SentReport
@@ -39,20 +39,20 @@
 	return report
 }
 
-// PromptsSent delivers when there are prompts that DrainPrompts has not returned.
-func (f *Fleet) PromptsSent() <-chan struct{} { return f.prompts.changed.Raised() }
+// PromptsSent receives a value when there are prompts that DrainPrompts has not returned.
+func (f *Fleet) PromptsSent() <-chan struct{} { return f.sentPrompts.changed.Raised() }
 
-// DrainPrompts returns the prompts that were sent since it was last called.
-func (f *Fleet) DrainPrompts() wire.SentReport { return f.prompts.drain() }
+// DrainPrompts returns the prompts that were sent since the last call.
+func (f *Fleet) DrainPrompts() wire.SentReport { return f.sentPrompts.drain() }
 
-// SetBacklogs takes in how long replicas need for the prompts of all gateways. A replica
-// that is not mentioned keeps its estimate, which time takes off.
+// SetBacklogs sets the prefill times of the prompts of all gateways. The estimate of a replica that
+// is not included stays and decreases with time.
 func (f *Fleet) SetBacklogs(totals wire.Backlogs) {
 	now := f.now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	loadview.Unpack(totals, func(key uint64, backlog time.Duration) {
-		if peer := f.byKey[key]; peer != nil {
+		if peer := f.byBacklogKey[key]; peer != nil {
 			peer.setBacklog(now, backlog)
 		}
 	})
--- a/src/exchange/quarantine.go
+++ b/src/exchange/quarantine.go
@@ -11,10 +11,10 @@
 	"github.com/moorspool/moorspool/src/quarantine"
 )
 
-// maxShown bounds the digests in a log line.
-const maxShown = 16
+// maxLoggedDigests bounds the digests in a log line.
+const maxLoggedDigests = 16
 
-// digest returns the digest of what the request asks for.
+// digest returns the digest of the request's content.
 func (c *call) digest() quarantine.Digest {
 	if !c.digested {
 		content := quarantine.Content{Account: c.accountName(), Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI, Body: c.body}
@@ -23,19 +23,19 @@
 	return c.content
 }
 
-// maySend reports whether the request may go to a replica now, whichever way it came to that:
-// a first try, a further one, a stream that goes on. Where not, it answers the client.
+// maySend reports whether the request may be sent to a replica now. It is called before every
+// attempt: the first, a retry and the continuation of a stream. If not, it responds to the client.
 func (c *call) maySend(ctx context.Context) bool {
-	return !c.quarantined() && c.mayGoOn(ctx)
+	return !c.quarantined() && c.reauthorize(ctx)
 }
 
-// quarantined reports whether replicas ended under what the request asks for, so that it must
-// not reach another one; it then answers the client.
+// quarantined reports whether the request must not be sent because replicas crashed while running
+// requests with the same content. If so, it responds to the client.
 //
-// The question stands here, right before each send, and not where requests come in: the third
-// end may be seen while the request waits, and the send may be this call's own third. The
-// answer is 429, since the request has not run and sending it again is what is too much; the
-// wait that it tells is the hold's, too long for a client to come back in its own time.
+// The check is made right before each send and not when the request arrives: the third crash may be
+// detected while the request waits, or this request may itself have caused it. The status is 429,
+// since the request has not run and must not be repeated. Retry-After is the remaining time of the
+// quarantine, which is longer than clients usually wait.
 func (c *call) quarantined() bool {
 	guard := c.handler.options.Guard
 	if guard.Empty() {
@@ -51,53 +51,53 @@
 	return true
 }
 
-// ranWell takes in that the request's run came to a good end.
-func (c *call) ranWell() {
+// noteSuccessfulRun records that the request ran without a crash.
+func (c *call) noteSuccessfulRun() {
 	if c.status < http.StatusOK || c.status >= http.StatusMultipleChoices || !c.handler.options.Guard.Remembered(len(c.body)) {
 		return
 	}
 	c.handler.options.Guard.Ran(c.handler.options.Now(), c.digest())
 }
 
-// lostReplica takes in how an attempt ended that got no whole answer. Where the connection
-// broke it waits a moment, so that what follows knows whether the replica has ended; where the
-// time is over, the replica may have ended without a word, and it is looked after as well.
-func (c *call) lostReplica(ctx context.Context, peer *Peer) {
+// noteLostReplica handles an attempt without a complete response. If the connection broke, it waits
+// briefly for the crash check, so that the next attempt takes the result into account. If the
+// deadline has passed, the replica may have crashed silently, so it is checked as well.
+func (c *call) noteLostReplica(ctx context.Context, peer *Peer) {
 	h := c.handler
 	switch {
-	case c.left():
-		h.endings.left(h.options.Now(), peer, c.digest())
+	case c.clientLeft():
+		h.crashDetector.clientLeft(h.options.Now(), peer, c.digest())
 		return
 	case ctx.Err() != nil:
-		h.endings.broke(h.options.Now(), peer, c.digest())
+		h.crashDetector.connectionBroke(h.options.Now(), peer, c.digest())
 		return
-	case !c.broke:
+	case !c.connectionBroke:
 		return
 	}
-	c.broke = false
-	peer.pool.broke()
-	timer := time.NewTimer(proofWait)
+	c.connectionBroke = false
+	peer.pool.connectionBroke()
+	timer := time.NewTimer(crashCheckTimeout)
 	defer timer.Stop()
 	select {
-	case <-h.endings.broke(h.options.Now(), peer, c.digest()):
+	case <-h.crashDetector.connectionBroke(h.options.Now(), peer, c.digest()):
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// replicaEnded takes in that a replica has ended with requests under way.
-func (h *Handler) replicaEnded(now time.Time, replica string, under []quarantine.Digest, witness string) {
-	blamed := h.options.Guard.Ended(now, replica, under)
-	h.options.Metrics.Endings.Inc(1)
-	h.options.Ring.Add(event.Event{Kind: event.ReplicaEnded, Host: replica, Reason: fmt.Sprintf("%s; under way: %s; without a good end of late: %s", witness, shown(under), shown(blamed))})
+// noteCrash records that a replica has crashed with requests in flight.
+func (h *Handler) noteCrash(now time.Time, replica string, inFlight []quarantine.Digest, evidence string) {
+	suspected := h.options.Guard.Ended(now, replica, inFlight)
+	h.options.Metrics.Crashes.Inc(1)
+	h.options.Ring.Add(event.Event{Kind: event.ReplicaEnded, Host: replica, Reason: fmt.Sprintf("%s; under way: %s; without a good end of late: %s", evidence, formatDigests(inFlight), formatDigests(suspected))})
 }
 
-// shown lists digests for a log line.
-func shown(digests []quarantine.Digest) string {
-	texts := make([]string, 0, maxShown+1)
+// formatDigests lists digests for a log line.
+func formatDigests(digests []quarantine.Digest) string {
+	texts := make([]string, 0, maxLoggedDigests+1)
 	for i, digest := range digests {
-		if i == maxShown {
-			texts = append(texts, fmt.Sprintf("and %d more", len(digests)-maxShown))
+		if i == maxLoggedDigests {
+			texts = append(texts, fmt.Sprintf("and %d more", len(digests)-maxLoggedDigests))
 			break
 		}
 		texts = append(texts, digest.String())
