--- a/src/exchange/quarantine_test.go
+++ b/src/exchange/quarantine_test.go
@@ -112,8 +112,8 @@
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 	now := time.Now()
 	for i := range 5 {
-		b.handler.replicaEnded(now, replicaNamed(i), []quarantine.Digest{content}, "test")
-		other.handler.replicaEnded(now, replicaNamed(i), []quarantine.Digest{content}, "test")
+		b.handler.noteCrash(now, replicaNamed(i), []quarantine.Digest{content}, "test")
+		other.handler.noteCrash(now, replicaNamed(i), []quarantine.Digest{content}, "test")
 	}
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
 	is.Equal(other.do("GET", "three", "").status, http.StatusTooManyRequests) // it alone could not know
--- a/src/exchange/residency_test.go
+++ b/src/exchange/residency_test.go
@@ -40,7 +40,7 @@
 		is.Equal(b.do("POST", fmt.Sprint("model-", i), "x", testModel+": m").status, 500)
 	}
 	is.Equal(far.count(), 0)
-	want := Want{Service: "s", Model: "m", Residency: catalog.ResidencyOf(&catalog.Route{Regions: []string{"here"}}, nil)}
+	want := Requirements{Service: "s", Model: "m", Residency: catalog.ResidencyOf(&catalog.Route{Regions: []string{"here"}}, nil)}
 	is.True(b.fleet.backup(time.Now(), want, []*Peer{b.fleet.Peer("y")}) == nil)
 	var tried []string
 	b.handler.options.Places = Places{
@@ -66,11 +66,11 @@
 	r := route(catalog.Safe, 3)
 	far := abroad(t, "x", whole)
 	b := newBench(t, r, far)
-	b.fleet.begunAt.Store(1)
+	b.fleet.firstReplicaAt.Store(1)
 	b.inRegions(r, "here")
 	is.Equal(b.do("POST", "one", "x").status, http.StatusServiceUnavailable)
 	here := catalog.ResidencyOf(&catalog.Route{Regions: []string{"here"}}, nil)
-	is.Equal(b.fleet.Pick(time.Now(), Want{Service: "s", Model: "m", Residency: here}, nil).Verdict, None) // no wait
+	is.Equal(b.fleet.Pick(time.Now(), Requirements{Service: "s", Model: "m", Residency: here}, nil).Verdict, NoReplica) // no wait
 	b.inRegions(r, "there")
 	b.fleet.SetRegions(nil)
 	is.Equal(b.do("POST", "two", "x").status, http.StatusServiceUnavailable)
--- a/src/exchange/answer.go
+++ b/src/exchange/response.go
@@ -16,83 +16,83 @@
 	"github.com/moorspool/moorspool/src/event"
 )
 
-// maxKept bounds the part of a plain answer that is read whole before the
-// client's answer begins, so that a broken one can still be replaced.
-const maxKept = 1 << 20
+// maxBufferedBytes is the largest response that is read completely before the client's response
+// begins. Until then a broken response can be replaced by another attempt.
+const maxBufferedBytes = 1 << 20
 
-// The waits that refused clients are told, by what the refusal was for.
+// Default values of Retry-After, by the reason of the refusal.
 const (
 	retryAfterMissing = 500 * time.Millisecond
 	retryAfterBusy    = 250 * time.Millisecond
-	// retryAfterStart is about what control nodes need to come up after startHold.
+	// retryAfterStart is about the time that control nodes need to start after maxConfigWait has
+	// passed.
 	retryAfterStart = 500 * time.Millisecond
 )
 
-// keptAnswer is a replica's whole answer with a failure, for the case that no
-// other attempt does better.
-type keptAnswer struct {
+// errorResponse is a complete error response of a replica. It is used if no other attempt succeeds.
+type errorResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// keep reads a failure that ran.
-func (c *call) keep(peer *Peer, a *answer) (outcome, *keptAnswer) {
+// bufferError reads the error response of a replica that ran the request.
+func (c *call) bufferError(peer *Peer, a *replicaResponse) (outcome, *errorResponse) {
 	now := c.handler.options.Now()
-	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxKept))
+	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedBytes))
 	peer.failed(now, false)
 	if err != nil {
 		a.abort()
-		c.broke = !c.left()
+		c.connectionBroke = !c.clientLeft()
 		c.reason += "; the failure's body broke off"
 		return unknown, nil
 	}
-	a.finish(now)
+	a.reuseConn(now)
 	c.reason += "; " + peer.ID() + " answered " + a.response.Status
-	return failed, &keptAnswer{status: a.response.StatusCode, header: a.response.Header, body: body}
+	return failed, &errorResponse{status: a.response.StatusCode, header: a.response.Header, body: body}
 }
 
-// passWhole passes a plain answer on once all of it is here.
-func (c *call) passWhole(ctx context.Context, peer *Peer, a *answer) outcome {
-	body, err := io.ReadAll(&retainingReader{call: c, from: io.LimitReader(a.response.Body, maxKept+1)})
-	if errors.Is(err, errRetention) {
-		// It can't be replaced any more if it breaks off, which is better than to keep all of it.
-		return c.passLong(ctx, peer, a, body)
+// relayBuffered passes a response on once it has arrived completely.
+func (c *call) relayBuffered(ctx context.Context, peer *Peer, a *replicaResponse) outcome {
+	body, err := io.ReadAll(&retainingReader{call: c, from: io.LimitReader(a.response.Body, maxBufferedBytes+1)})
+	if errors.Is(err, errRetentionFull) {
+		// The response can no longer be replaced if it breaks off, but memory stays bounded.
+		return c.relayUnbuffered(ctx, peer, a, body)
 	}
 	now := c.handler.options.Now()
 	if err != nil {
 		a.abort()
 		if ctx.Err() == nil {
-			c.broke = true
+			c.connectionBroke = true
 			peer.failed(now, false)
 		}
 		c.reason += "; the answer broke off: " + err.Error()
 		return unknown
 	}
-	if len(body) > maxKept {
-		return c.passLong(ctx, peer, a, body)
+	if len(body) > maxBufferedBytes {
+		return c.relayUnbuffered(ctx, peer, a, body)
 	}
-	a.finish(now)
+	a.reuseConn(now)
 	peer.succeeded()
-	c.writeAnswer(a.response.StatusCode, a.response.Header, body)
+	c.writeResponse(a.response.StatusCode, a.response.Header, body)
 	return answered
 }
 
-// passLong passes a long answer on as it comes.
-func (c *call) passLong(ctx context.Context, peer *Peer, a *answer, begun []byte) outcome {
+// relayUnbuffered passes a long response on as it arrives.
+func (c *call) relayUnbuffered(ctx context.Context, peer *Peer, a *replicaResponse, begun []byte) outcome {
 	c.copyHeader(a.response.Header)
 	if a.response.ContentLength >= 0 {
 		c.writer.Header().Set("Content-Length", strconv.FormatInt(a.response.ContentLength, 10))
 	}
-	c.begin(a.response.StatusCode)
+	c.beginResponse(a.response.StatusCode)
 	_, err := io.Copy(c.writer, io.MultiReader(bytes.NewReader(begun), a.response.Body))
 	if err != nil {
 		a.abort()
-		c.broke = ctx.Err() == nil
-		c.lostReplica(ctx, peer)
-		c.breakOff("the answer broke off: " + err.Error())
+		c.connectionBroke = ctx.Err() == nil
+		c.noteLostReplica(ctx, peer)
+		c.abortResponse("the answer broke off: " + err.Error())
 	}
-	a.finish(c.handler.options.Now())
+	a.reuseConn(c.handler.options.Now())
 	peer.succeeded()
 	return answered
 }
@@ -108,86 +108,87 @@
 	}
 }
 
-func (c *call) begin(status int) {
+func (c *call) beginResponse(status int) {
 	c.status = status
-	c.first = c.handler.options.Now()
+	c.firstByte = c.handler.options.Now()
 	_ = http.NewResponseController(c.writer).SetWriteDeadline(c.deadline.Add(time.Second))
 	c.writer.WriteHeader(status)
 }
 
-func (c *call) writeAnswer(status int, header http.Header, body []byte) {
+func (c *call) writeResponse(status int, header http.Header, body []byte) {
 	c.copyHeader(header)
 	if c.request.Method != http.MethodHead {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.begin(status)
+	c.beginResponse(status)
 	_, _ = c.writer.Write(body)
 }
 
-// giveUp ends a request for which there is no replica.
-func (c *call) giveUp(kept *keptAnswer, choice Choice) {
-	if c.left() {
-		c.breakOff("the client left")
+// endWithoutReplica ends a request for which no replica was found.
+func (c *call) endWithoutReplica(lastError *errorResponse, choice Choice) {
+	if c.clientLeft() {
+		c.abortResponse("the client left")
 	}
-	if c.stream != nil && c.stream.begun {
-		c.breakOff("no other replica can go on with the stream")
+	if c.stream != nil && c.stream.started {
+		c.abortResponse("no other replica can go on with the stream")
 	}
-	if kept != nil {
-		c.writeAnswer(kept.status, kept.header, kept.body)
+	if lastError != nil {
+		c.writeResponse(lastError.status, lastError.header, lastError.body)
 		return
 	}
 	reason := "no replica of the service is in reach"
 	switch choice.Verdict {
-	case BackedOff:
+	case NotAccepting:
 		c.handler.options.Metrics.BackoffRefusals.Inc(1)
-		c.retryIn = spreadReturn(choice.OpensIn, rand.Float64())
-		reason = c.handler.options.Fleet.describeClosed(c.want())
-	case Missing:
+		c.retryIn = jitterRetry(choice.AcceptsIn, rand.Float64())
+		reason = c.handler.options.Fleet.describeUnavailable(c.requirements())
+	case ModelMissing:
 		reason = "no replica in reach holds the model"
-	case Crowded:
+	case NoFreeSlot:
 		reason = "all places of the service are taken for longer than the request has"
-	case Unread:
+	case Backlog:
 		reason = "every replica with the model has too much to read for the request to be in time"
 	}
-	if c.ran > 0 {
-		c.refuse(c.unanswered(), c.reason+"; "+reason)
+	if c.possibleRuns > 0 {
+		c.refuse(c.unknownOutcomeStatus(), c.reason+"; "+reason)
 		return
 	}
 	c.refuse(http.StatusServiceUnavailable, strings.TrimPrefix(c.reason+"; "+reason, "; "))
 }
 
-// end gives the client the final answer after the last attempt.
-func (c *call) end(ctx context.Context, ended outcome, kept *keptAnswer) {
-	if c.left() {
-		c.breakOff("the client left")
+// endAfterAttempt responds to the client after the last attempt.
+func (c *call) endAfterAttempt(ctx context.Context, ended outcome, lastError *errorResponse) {
+	if c.clientLeft() {
+		c.abortResponse("the client left")
 	}
-	if ended == cut || c.stream != nil && c.stream.begun {
-		c.breakOff("the stream can't go on")
+	if ended == truncated || c.stream != nil && c.stream.started {
+		c.abortResponse("the stream can't go on")
 	}
-	if kept != nil {
-		c.writeAnswer(kept.status, kept.header, kept.body)
+	if lastError != nil {
+		c.writeResponse(lastError.status, lastError.header, lastError.body)
 		return
 	}
-	if c.ran > 0 {
-		c.refuse(c.unanswered(), c.reason)
+	if c.possibleRuns > 0 {
+		c.refuse(c.unknownOutcomeStatus(), c.reason)
 		return
 	}
-	if choice := c.handler.options.Fleet.Pick(c.handler.options.Now(), c.want(), c.tried); choice.Verdict == BackedOff {
-		c.retryIn = spreadReturn(choice.OpensIn, rand.Float64())
+	if choice := c.handler.options.Fleet.Pick(c.handler.options.Now(), c.requirements(), c.tried); choice.Verdict == NotAccepting {
+		c.retryIn = jitterRetry(choice.AcceptsIn, rand.Float64())
 	}
 	c.refuse(http.StatusServiceUnavailable, c.reason)
 }
 
-// unanswered is the status of a request that may have run: nothing is promised.
-func (c *call) unanswered() int {
-	if !c.handler.options.Now().Add(answerMargin).Before(c.deadline) {
+// unknownOutcomeStatus returns the status for a request that may have run. It makes no statement on
+// whether it did.
+func (c *call) unknownOutcomeStatus() int {
+	if !c.handler.options.Now().Add(responseMargin).Before(c.deadline) {
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
 }
 
-// refuse ends a request with an answer of our own. 503 promises that the
-// request has not run and never will; callers choose it only then.
+// refuse responds with an error of the gateway. Status 503 states that the request has not run and
+// never will; callers use it only if that is certain.
 func (c *call) refuse(status int, reason string) {
 	header := c.writer.Header()
 	c.reason = reason
@@ -197,7 +198,7 @@
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	body := reason + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	c.begin(status)
+	c.beginResponse(status)
 	_, _ = io.WriteString(c.writer, body)
 	c.handler.options.Metrics.Refusals.Inc(1)
 }
@@ -218,20 +219,20 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// breakOff ends an answer that has begun so that it can't look complete.
-func (c *call) breakOff(reason string) {
+// abortResponse ends a response that has begun so that it cannot be taken for complete.
+func (c *call) abortResponse(reason string) {
 	c.reason += "; " + reason
 	c.status = 0
 	panic(http.ErrAbortHandler)
 }
 
-// left reports whether the client has closed its connection.
-func (c *call) left() bool { return c.request.Context().Err() != nil }
+// clientLeft reports whether the client has closed its connection.
+func (c *call) clientLeft() bool { return c.request.Context().Err() != nil }
 
-// kind says which event the request's end is.
+// kind returns the kind of the event that logs the request's result.
 func (c *call) kind() event.Kind {
 	switch {
-	case c.status == 0 && c.left():
+	case c.status == 0 && c.clientLeft():
 		return event.RequestLeft
 	case c.status == 0, c.status >= http.StatusBadRequest:
 		return event.RequestRefused
@@ -239,12 +240,12 @@
 	return event.RequestFinished
 }
 
-// note logs what became of the request.
-func (c *call) note() {
+// logResult logs the result of the request.
+func (c *call) logResult() {
 	h := c.handler
 	kind := c.kind()
 	now := h.options.Now()
-	took := now.Sub(c.began)
+	took := now.Sub(c.startedAt)
 	h.options.Metrics.Latency.RecordDuration(took)
 	h.options.Metrics.Requests.Inc(1)
 	if c.pauses.longest > 0 {
@@ -261,14 +262,14 @@
 	if c.digested {
 		content = ", content " + c.content.String()
 	}
-	first := time.Duration(-1)
-	if !c.first.IsZero() {
-		first = c.first.Sub(c.began)
+	firstByte := time.Duration(-1)
+	if !c.firstByte.IsZero() {
+		firstByte = c.firstByte.Sub(c.startedAt)
 	}
 	h.options.Ring.Add(event.Event{
 		Kind: kind, Request: c.facts.ID, Model: modelName(c.facts), Host: host,
 		Reason: fmt.Sprintf("status %d, route %s, service %s, account %q, configuration %d, sent to %d, may have run at %d, first byte %d ms, longest pause %s, took %d ms of %d ms%s; %s",
-			c.status, route, service, c.accountName(), c.version, c.sends, c.ran, first.Milliseconds(), c.pauses.String(), took.Milliseconds(), c.deadline.Sub(c.began).Milliseconds(), content, c.reason),
+			c.status, route, service, c.accountName(), c.version, c.sends, c.possibleRuns, firstByte.Milliseconds(), c.pauses.String(), took.Milliseconds(), c.deadline.Sub(c.startedAt).Milliseconds(), content, c.reason),
 	})
 }
 
--- a/src/exchange/retention.go
+++ b/src/exchange/retention.go
@@ -7,20 +7,20 @@
 	"github.com/pkg/errors"
 )
 
-// errRetention means that the gateway keeps as many bytes as it may.
-var errRetention = errors.New("this gateway keeps as much for other requests as it may")
+// errRetentionFull means that the gateway buffers as many bytes as it may.
+var errRetentionFull = errors.New("this gateway keeps as much for other requests as it may")
 
-// retention bounds the bytes that a gateway keeps of bodies and answers, over all requests: clients
-// that send or read slowly, and replicas that read slowly, keep theirs for long. It is safe for
-// concurrent use.
+// retention limits the bytes of request bodies and responses that a gateway buffers over all
+// requests. Slow clients and slow replicas occupy their share for long. It is safe for concurrent
+// use.
 type retention struct {
-	// limit is 0 for no bound.
+	// limit is 0 for no limit.
 	limit int64
 	used  atomic.Int64
 }
 
-// take counts bytes as kept, if there is room for them.
-func (r *retention) take(n int64) bool {
+// reserve counts bytes as buffered if there is room for them.
+func (r *retention) reserve(n int64) bool {
 	if used := r.used.Add(n); r.limit > 0 && used > r.limit {
 		r.used.Add(-n)
 		return false
@@ -28,35 +28,35 @@
 	return true
 }
 
-// give counts bytes as kept no more.
-func (r *retention) give(n int64) { r.used.Add(-n) }
+// release stops counting bytes as buffered.
+func (r *retention) release(n int64) { r.used.Add(-n) }
 
-// retain counts bytes as kept until the request ends.
+// retain counts bytes as buffered until the request ends.
 func (c *call) retain(n int64) bool {
-	if !c.handler.retention.take(n) {
+	if !c.handler.retention.reserve(n) {
 		return false
 	}
 	c.retained += n
 	return true
 }
 
-// giveRetained counts what the request kept as kept no more.
-func (c *call) giveRetained() {
-	c.handler.retention.give(c.retained)
+// releaseRetained stops counting the bytes that were buffered for the request.
+func (c *call) releaseRetained() {
+	c.handler.retention.release(c.retained)
 	c.retained = 0
 }
 
-// retainingReader counts what is read as kept by a request.
+// retainingReader counts the bytes that are read as buffered for a request.
 type retainingReader struct {
 	call *call
 	from io.Reader
 }
 
-// Read returns errRetention together with the bytes for which there was no room.
+// Read returns errRetentionFull together with the bytes for which there was no room.
 func (r *retainingReader) Read(p []byte) (int, error) {
 	n, err := r.from.Read(p)
 	if n > 0 && !r.call.retain(int64(n)) {
-		return n, errRetention
+		return n, errRetentionFull
 	}
 	return n, err
 }
--- a/src/exchange/send.go
+++ b/src/exchange/send.go
@@ -12,57 +12,58 @@
 	"github.com/pkg/errors"
 )
 
-// The ways in which sending ends without an answer.
+// Errors of sending a request without a response.
 var (
-	// errNotSent means that not a byte of the request left this host.
+	// errNotSent means that no byte of the request left this host.
 	errNotSent = errors.New("not sent")
-	// errNoAnswer means that the request was sent and may have run.
-	errNoAnswer = errors.New("no answer")
-	// errWithheld means that not a byte left this host since the replica takes no requests now.
-	errWithheld = errors.New("withheld")
-	// errForeign means that only answers to other requests came.
-	errForeign = errors.New("the answer belongs to another request")
+	// errNoResponse means that the request was sent and may have run.
+	errNoResponse = errors.New("no answer")
+	// errNotAccepted means that no byte left this host because the replica accepts no requests now.
+	errNotAccepted = errors.New("withheld")
+	// errOtherRequest means that only responses to other requests arrived.
+	errOtherRequest = errors.New("the answer belongs to another request")
 )
 
-// maxForeign bounds the late answers to earlier requests that are passed over.
-const maxForeign = 2
+// maxStaleResponses is the number of late responses to earlier requests that are skipped on a
+// connection.
+const maxStaleResponses = 2
 
-// inlineBody is the size up to which a body is written before the answer is
-// read; a longer one is written beside it, since a replica may answer early.
-const inlineBody = 8 << 10
+// maxInlineBodyBytes is the largest body that is written before the response is read. A larger one
+// is written concurrently, since the replica may respond before it has read all of it.
+const maxInlineBodyBytes = 8 << 10
 
-// outgoing is a request as it goes to a replica.
-type outgoing struct {
+// outgoingRequest is a request in the form in which it is sent to a replica.
+type outgoingRequest struct {
 	method string
-	// target is the path and query as the client wrote them.
+	// target is the path and query exactly as the client sent them.
 	target string
 	host   string
 	header http.Header
 	body   []byte
 }
 
-// answer is a replica's answer whose body is still to be read.
-type answer struct {
+// replicaResponse is a response of a replica whose body has not been read yet.
+type replicaResponse struct {
 	response *http.Response
 	reply    Reply
 	conn     *conn
 	pool     *pool
-	// begun is set once the head of the answer is here.
-	begun atomic.Bool
-	// written is closed once the request's body has gone out.
-	written chan struct{}
-	stop    func() bool
+	// headRead is set once the head of the response has been read.
+	headRead atomic.Bool
+	// written is closed once the request body has been written.
+	written   chan struct{}
+	stopWatch func() bool
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Content-Length": true, "Host": true, "Expect": true,
 }
 
-// encode returns the request's head.
-func (o *outgoing) encode() []byte {
+// encode returns the request line and headers.
+func (o *outgoingRequest) encode() []byte {
 	var head bytes.Buffer
 	head.Grow(1024)
 	head.WriteString(o.method + " " + o.target + " HTTP/1.1\r\nHost: " + o.host + "\r\n")
@@ -78,29 +79,30 @@
 	return head.Bytes()
 }
 
-// talk is what is asked and learned of a replica while a request is sent to it.
-type talk struct {
-	// admit reports whether the replica takes the request; it is asked once the connection is
-	// up, right before the first byte.
+// sendHooks are called while a request is sent to a replica.
+type sendHooks struct {
+	// admit reports whether the replica accepts the request. It is called once the connection is
+	// established, right before the first byte.
 	admit func() bool
-	// read reads the head of each answer that comes, whichever request it belongs to.
+	// read decodes the head of each response that arrives, whichever request it belongs to.
 	read func(status int, header http.Header) Reply
 }
 
-// send sends a request over a connection that is up within a time, and waits for the
-// head of its answer until the deadline. The context ends the exchange at any time by closing the connection.
-func send(ctx context.Context, p *pool, o *outgoing, id string, with talk, within time.Duration, deadline, now time.Time) (*answer, error) {
+// send sends a request and waits for the head of its response until the deadline. The connection
+// must be established within the given time. Cancelling the context closes the connection at any
+// time.
+func send(ctx context.Context, p *pool, o *outgoingRequest, id string, with sendHooks, within time.Duration, deadline, now time.Time) (*replicaResponse, error) {
 	c, err := p.get(ctx, within, now)
 	if err != nil {
 		return nil, errors.Wrap(errNotSent, err.Error())
 	}
 	if !with.admit() {
-		p.giveBack(now, c)
-		return nil, errWithheld
+		p.putUnused(now, c)
+		return nil, errNotAccepted
 	}
 	_ = c.raw.SetDeadline(deadline)
-	a := &answer{conn: c, pool: p, written: make(chan struct{})}
-	a.stop = context.AfterFunc(ctx, a.hangUp)
+	a := &replicaResponse{conn: c, pool: p, written: make(chan struct{})}
+	a.stopWatch = context.AfterFunc(ctx, a.abortAfterGrace)
 	if err := a.write(o); err != nil {
 		a.abort()
 		return nil, err
@@ -112,31 +114,31 @@
 	return a, nil
 }
 
-// lastWord is how long a connection whose request was given up stays open until the head of an
-// answer is there. A replica that turns it away may say there that it wants nothing for a time, and
-// say it once: that comes within one round trip, some 10 ms between zones. It is a tenth of the half
-// second after which no replica may be at work for a client that has left.
-const lastWord = 50 * time.Millisecond
+// abortGrace is how long the connection of a cancelled request stays open for the head of a
+// response. A replica that rejects the request may ask for a backoff in that response, and may ask
+// only once; the response arrives within one round trip, about 10 ms between zones. The grace is a
+// tenth of the half second after which no replica may still work for a client that has left.
+const abortGrace = 50 * time.Millisecond
 
-// hangUp closes the connection of a request that was given up.
-func (a *answer) hangUp() {
-	if a.begun.Load() {
+// abortAfterGrace closes the connection of a cancelled request.
+func (a *replicaResponse) abortAfterGrace() {
+	if a.headRead.Load() {
 		_ = a.conn.raw.Close()
 		return
 	}
-	time.AfterFunc(lastWord, func() { _ = a.conn.raw.Close() })
+	time.AfterFunc(abortGrace, func() { _ = a.conn.raw.Close() })
 }
 
-func (a *answer) write(o *outgoing) error {
+func (a *replicaResponse) write(o *outgoingRequest) error {
 	head := o.encode()
-	if len(o.body) <= inlineBody {
+	if len(o.body) <= maxInlineBodyBytes {
 		close(a.written)
 		n, err := a.conn.raw.Write(append(head, o.body...))
 		if err != nil && n == 0 {
 			return errors.Wrap(errNotSent, err.Error())
 		}
 		if err != nil {
-			return errors.Wrap(errNoAnswer, err.Error())
+			return errors.Wrap(errNoResponse, err.Error())
 		}
 		return nil
 	}
@@ -146,7 +148,7 @@
 		if n == 0 {
 			return errors.Wrap(errNotSent, err.Error())
 		}
-		return errors.Wrap(errNoAnswer, err.Error())
+		return errors.Wrap(errNoResponse, err.Error())
 	}
 	go func() {
 		defer close(a.written)
@@ -157,13 +159,13 @@
 	return nil
 }
 
-// readHead reads heads until one belongs to the request; late answers to
-// earlier requests on the connection are passed over.
-func (a *answer) readHead(method, id string, read func(int, http.Header) Reply) error {
+// readHead reads response heads until one belongs to the request. Late responses to earlier
+// requests on the connection are skipped.
+func (a *replicaResponse) readHead(method, id string, read func(int, http.Header) Reply) error {
 	for passed := 0; ; passed++ {
 		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: method})
 		if err != nil {
-			return errors.Wrap(errNoAnswer, err.Error())
+			return errors.Wrap(errNoResponse, err.Error())
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -172,22 +174,22 @@
 		if reply.ID == id || reply.ID == "" && reply.NotRun {
 			a.response = response
 			a.reply = reply
-			a.begun.Store(true)
+			a.headRead.Store(true)
 			return nil
 		}
-		if passed == maxForeign || response.Close || response.ContentLength < 0 {
-			return errForeign
+		if passed == maxStaleResponses || response.Close || response.ContentLength < 0 {
+			return errOtherRequest
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return errors.Wrap(errNoAnswer, err.Error())
+			return errors.Wrap(errNoResponse, err.Error())
 		}
 	}
 }
 
-// finish gives the connection back after the whole body was read.
-func (a *answer) finish(now time.Time) {
-	if !a.stop() {
-		// The context has ended: the connection is being closed.
+// reuseConn returns the connection to the pool after the whole body was read.
+func (a *replicaResponse) reuseConn(now time.Time) {
+	if !a.stopWatch() {
+		// The context has ended, so the connection is being closed.
 		return
 	}
 	if !a.reusable() {
@@ -198,9 +200,9 @@
 	a.pool.put(now, a.conn, a.response.Header)
 }
 
-// reusable reports whether the connection's state is certain: the request went
-// out whole and the answer said where it ends.
-func (a *answer) reusable() bool {
+// reusable reports whether the state of the connection is certain: the request was written
+// completely and the response had a defined length.
+func (a *replicaResponse) reusable() bool {
 	select {
 	case <-a.written:
 	default:
@@ -210,8 +212,8 @@
 	return framed && !a.response.Close && a.conn.reader.Buffered() == 0
 }
 
-// abort closes the connection; the replica stops its work.
-func (a *answer) abort() {
-	a.stop()
+// abort closes the connection, which makes the replica stop its work.
+func (a *replicaResponse) abort() {
+	a.stopWatch()
 	_ = a.conn.raw.Close()
 }
--- a/src/exchange/speed.go
+++ b/src/exchange/speed.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// How fast replicas read prompts is learned from streams that pass. A first event
-// comes late for many reasons and early for none, so a low quantile of what was seen
-// is taken for the replica's own speed.
+// The prefill speed of replicas is estimated from passing streams. A first event can be late for
+// many reasons but never early, so a low quantile of the observed times is taken for the speed of
+// the replica itself.
 const (
-	// speedQuantile is the share of the times seen that lie below the estimate.
+	// speedQuantile is the share of the observed times that lie below the estimate.
 	speedQuantile = 0.25
-	// speedStep is how far one sample moves an estimate, as a share of it: some
-	// twenty samples halve or double it.
+	// speedStep is the relative change of an estimate by one sample. About twenty samples halve or
+	// double it.
 	speedStep = 0.06
-	// initialPerToken is assumed of a model that nothing is known of: the reading rate
-	// of a large model on the slowest engines met so far, 18 tokens a millisecond.
+	// initialPerToken is assumed for a model without samples. It is the speed of a large model on
+	// the slowest engine in use, 18 tokens per millisecond.
 	initialPerToken = time.Millisecond / 18
 	// fastestPerToken and slowestPerToken bound an estimate.
 	fastestPerToken = time.Millisecond / 1000
 	slowestPerToken = time.Millisecond / 2
-	// initialFirst is assumed of the time to a first event beside the reading.
-	initialFirst = 12 * time.Millisecond
-	// learnTokens is the shortest prompt that tells a speed.
-	learnTokens = 400
+	// initialOverhead is the initial estimate of the time to the first event without prefill.
+	initialOverhead = 12 * time.Millisecond
+	// minSampleTokens is the shortest prompt from which a speed is estimated.
+	minSampleTokens = 400
 )
 
-// reading is a prompt that a replica reads.
-type reading struct {
+// prefill is the prefill of one prompt.
+type prefill struct {
 	model  string
 	tokens int
 	began  time.Time
 }
 
-// speeds are the learned reading speeds by model; it is safe for concurrent use.
-type speeds struct {
+// prefillSpeeds holds the estimated prefill speeds by model. It is safe for concurrent use.
+type prefillSpeeds struct {
 	mu sync.Mutex
-	// first is the time to a first event without any reading.
-	first quantile
-	// perToken is the time for one prompt token, by model.
+	// overhead is the time to the first event without prefill.
+	overhead quantile
+	// perToken is the prefill time per prompt token, by model.
 	perToken map[string]*quantile
 }
 
-func newSpeeds() *speeds {
-	return &speeds{first: quantile(initialFirst), perToken: map[string]*quantile{}}
+func newPrefillSpeeds() *prefillSpeeds {
+	return &prefillSpeeds{overhead: quantile(initialOverhead), perToken: map[string]*quantile{}}
 }
 
-// readTime is how long a replica is expected to need for a part of a prompt.
-func (s *speeds) readTime(model string, tokens int) time.Duration {
+// prefillTime returns the time that a replica is expected to need to prefill a number of tokens.
+func (s *prefillSpeeds) prefillTime(model string, tokens int) time.Duration {
 	if model == "" || tokens <= 0 {
 		return 0
 	}
@@ -61,16 +61,16 @@
 	return per * time.Duration(tokens)
 }
 
-// learn takes in that a prompt's first event came.
-func (s *speeds) learn(r reading, now time.Time) {
+// learn updates the estimates when the first event of a stream has arrived.
+func (s *prefillSpeeds) learn(r prefill, now time.Time) {
 	if r.model == "" {
 		return
 	}
 	took := now.Sub(r.began)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.tokens < learnTokens {
-		s.first.learn(took, time.Millisecond, time.Second)
+	if r.tokens < minSampleTokens {
+		s.overhead.learn(took, time.Millisecond, time.Second)
 		return
 	}
 	known := s.perToken[r.model]
@@ -79,11 +79,11 @@
 		known = &initial
 		s.perToken[r.model] = known
 	}
-	reading := max(took-time.Duration(s.first), 0)
-	known.learn(reading/time.Duration(r.tokens), fastestPerToken, slowestPerToken)
+	prefill := max(took-time.Duration(s.overhead), 0)
+	known.learn(prefill/time.Duration(r.tokens), fastestPerToken, slowestPerToken)
 }
 
-// quantile is an estimate of speedQuantile of a series of times.
+// quantile is a running estimate of speedQuantile of a series of times.
 type quantile time.Duration
 
 // learn moves the estimate towards the quantile by one sample, within bounds.
--- a/src/exchange/start_test.go
+++ b/src/exchange/start_test.go
@@ -75,11 +75,11 @@
 	is := is.New(t)
 	began := time.Now()
 	f := NewFleet("z", Dial, nil, func() time.Time { return began }, time.Now)
-	is.True(f.Gathering(began))
+	is.True(f.Discovering(began))
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: registry.Record{ID: "a", Service: "s"}}}})
-	is.True(f.Gathering(began.Add(gatherTime - 1)))
-	is.True(!f.Gathering(began.Add(gatherTime)))
+	is.True(f.Discovering(began.Add(discoveryTime - 1)))
+	is.True(!f.Discovering(began.Add(discoveryTime)))
 	c := &call{handler: &Handler{options: Options{Fleet: f}}, route: &catalog.Route{Target: time.Second}}
-	is.Equal(c.patience(began.Add(gatherTime), None), time.Duration(0))
-	is.True(c.patience(began, None) > 0)
+	is.Equal(c.maxReplicaWait(began.Add(discoveryTime), NoReplica), time.Duration(0))
+	is.True(c.maxReplicaWait(began, NoReplica) > 0)
 }
--- a/src/exchange/stream.go
+++ b/src/exchange/stream.go
@@ -9,45 +9,43 @@
 	"time"
 )
 
-// streamBuffer is how much of a stream is read at once.
-const streamBuffer = 16 << 10
+const streamBufferBytes = 16 << 10
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
-// eventStream cuts a stream into whole events, so that one that breaks off can
-// be resumed, or at least never ends in the middle of an event as if complete.
+// eventStream splits a stream into complete events. A stream that breaks off can then be resumed,
+// and never ends in the middle of an event as if it were complete.
 type eventStream struct {
-	// begun is set once the client's answer has begun.
-	begun bool
-	// last is the ID of the last event passed on.
-	last    string
-	pending []byte
+	// started is set once the response to the client has begun.
+	started bool
+	// lastEventID is the ID of the last event that was passed on.
+	lastEventID string
+	pending     []byte
 }
 
-// take adds bytes and returns the whole events among what is there.
-func (s *eventStream) take(data []byte) []byte {
+// appendData adds data and returns the complete events received so far.
+func (s *eventStream) appendData(data []byte) []byte {
 	s.pending = append(s.pending, data...)
 	end := lastEventEnd(s.pending)
 	if end == 0 {
 		return nil
 	}
-	whole := bytes.Clone(s.pending[:end])
+	events := bytes.Clone(s.pending[:end])
 	s.pending = append(s.pending[:0], s.pending[end:]...)
-	if id := lastID(whole); id != "" {
-		s.last = id
+	if id := parseLastID(events); id != "" {
+		s.lastEventID = id
 	}
-	return whole
+	return events
 }
 
-// rest returns what follows the last whole event and forgets it.
+// rest returns and clears the data after the last complete event.
 func (s *eventStream) rest() []byte {
 	rest := s.pending
 	s.pending = nil
 	return rest
 }
 
-// lastEventEnd returns the place after the last blank line, 0 if there is none.
+// lastEventEnd returns the offset after the last blank line, or 0 if there is none.
 func lastEventEnd(data []byte) int {
 	end := 0
 	if at := bytes.LastIndex(data, []byte("\n\n")); at >= 0 {
@@ -59,8 +57,8 @@
 	return end
 }
 
-// lastID returns the last id line of whole events.
-func lastID(events []byte) string {
+// parseLastID returns the ID of the last event that has one.
+func parseLastID(events []byte) string {
 	id := ""
 	for _, line := range strings.Split(string(events), "\n") {
 		if value, found := strings.CutPrefix(line, "id:"); found {
@@ -71,95 +69,97 @@
 }
 
 func (c *call) resumeAfter() string {
-	if c.stream != nil && c.stream.last != "" {
-		return c.stream.last
+	if c.stream != nil && c.stream.lastEventID != "" {
+		return c.stream.lastEventID
 	}
 	return c.facts.ResumeAfter
 }
 
-// passStream passes a stream's events on as they come. unread is the part of
-// the prompt that counts as not read until the first event; prompt is what is read.
-func (c *call) passStream(ctx context.Context, peer *Peer, a *answer, dog *watchdog, unread *time.Duration, prompt reading) outcome {
+// relayStream passes the events of a stream on as they arrive. pendingPrefill is the prefill time
+// that counts towards the replica's backlog until the first event; prompt is the prompt that is
+// being read.
+func (c *call) relayStream(ctx context.Context, peer *Peer, a *replicaResponse, silenceWatch *watchdog, pendingPrefill *time.Duration, prompt prefill) outcome {
 	if c.stream == nil {
 		c.stream = &eventStream{}
 	}
 	if a.response.StatusCode != http.StatusOK {
-		if !c.stream.begun {
-			return c.passWhole(ctx, peer, a)
+		if !c.stream.started {
+			return c.relayBuffered(ctx, peer, a)
 		}
 		a.abort()
 		c.reason += "; " + peer.ID() + " did not resume the stream: " + a.response.Status
 		return unknown
 	}
 	c.stream.pending = nil
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	for {
 		n, err := a.response.Body.Read(buffer)
-		dog.heard()
+		silenceWatch.reset()
 		if n > 0 && prompt.tokens > 0 {
-			c.handler.options.Fleet.speeds.learn(prompt, c.handler.options.Now())
+			c.handler.options.Fleet.prefillSpeeds.learn(prompt, c.handler.options.Now())
 			prompt.tokens = 0
 		}
-		if n > 0 && *unread > 0 {
-			peer.read(*unread)
-			*unread = 0
+		if n > 0 && *pendingPrefill > 0 {
+			peer.read(*pendingPrefill)
+			*pendingPrefill = 0
 		}
-		if whole := c.stream.take(buffer[:n]); len(whole) > 0 {
+		if events := c.stream.appendData(buffer[:n]); len(events) > 0 {
 			c.pauses.note(c.handler.options.Now(), peer.ID())
-			if !c.passEvents(a, whole) {
+			if !c.writeEvents(a, events) {
 				a.abort()
-				return cut
+				return truncated
 			}
 		}
 		switch {
 		case err == io.EOF:
 			return c.endStream(peer, a)
-		case err != nil || len(c.stream.pending) > maxEvent:
-			return c.streamBroke(ctx, peer, a, err)
+		case err != nil || len(c.stream.pending) > maxEventBytes:
+			return c.handleBrokenStream(ctx, peer, a, err)
 		}
 	}
 }
 
-// passEvents writes whole events; it reports false if the client is gone.
-func (c *call) passEvents(a *answer, whole []byte) bool {
-	if !c.stream.begun {
+// writeEvents writes complete events to the client. It returns false if the client has
+// disconnected.
+func (c *call) writeEvents(a *replicaResponse, events []byte) bool {
+	if !c.stream.started {
 		c.copyHeader(a.response.Header)
-		c.stream.begun = true
-		c.begin(a.response.StatusCode)
+		c.stream.started = true
+		c.beginResponse(a.response.StatusCode)
 	}
-	if _, err := c.writer.Write(whole); err != nil {
+	if _, err := c.writer.Write(events); err != nil {
 		c.reason += "; the client could not be written to"
 		return false
 	}
 	return http.NewResponseController(c.writer).Flush() == nil
 }
 
-// endStream ends the client's answer after the replica's last byte.
-func (c *call) endStream(peer *Peer, a *answer) outcome {
-	if rest := c.stream.rest(); len(rest) > 0 || !c.stream.begun {
-		if !c.passEvents(a, rest) {
+// endStream completes the response to the client after the replica's last byte.
+func (c *call) endStream(peer *Peer, a *replicaResponse) outcome {
+	if rest := c.stream.rest(); len(rest) > 0 || !c.stream.started {
+		if !c.writeEvents(a, rest) {
 			a.abort()
-			return cut
+			return truncated
 		}
 	}
-	a.finish(c.handler.options.Now())
+	a.reuseConn(c.handler.options.Now())
 	peer.succeeded()
 	return answered
 }
 
-func (c *call) streamBroke(ctx context.Context, peer *Peer, a *answer, err error) outcome {
+func (c *call) handleBrokenStream(ctx context.Context, peer *Peer, a *replicaResponse, err error) outcome {
 	a.abort()
 	c.stream.pending = nil
-	if c.left() {
-		c.reason += "; stopped after event " + c.stream.last
+	if c.clientLeft() {
+		c.reason += "; stopped after event " + c.stream.lastEventID
 		return unknown
 	}
-	c.reason += "; " + peer.ID() + " broke the stream off after event " + c.stream.last
+	c.reason += "; " + peer.ID() + " broke the stream off after event " + c.stream.lastEventID
 	if err != nil {
 		c.reason += ": " + err.Error()
 	}
 	if ctx.Err() == nil {
-		c.broke = err != nil
+		c.connectionBroke = err != nil
 		peer.failed(c.handler.options.Now(), false)
 	}
 	return unknown
