--- a/src/exchange/admit_test.go
+++ b/src/exchange/admit_test.go
@@ -14,16 +14,16 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// fakeAdmission admits what a test says.
+// fakeAdmission returns the verdict set by a test.
 type fakeAdmission struct {
 	mu       sync.Mutex
 	verdict  admission.Verdict
 	trusted  bool
 	asked    []float64
 	returned []float64
-	// onAdmit is called before each answer.
+	// onAdmit is called before each verdict.
 	onAdmit func()
-	// suspended is for how long the host was suspended.
+	// suspended is how long the host was suspended.
 	suspended time.Duration
 }
 
@@ -55,7 +55,7 @@
 	return len(f.asked), len(f.returned)
 }
 
-// keyedTable has one route and a client account that holds the keys.
+// keyedTable has one route and a client account with the given keys.
 func keyedTable(version uint64, r catalog.Route, keys ...catalog.Key) *catalog.Table {
 	return catalog.NewTable(catalog.Document{
 		Version: version, Routes: []catalog.Route{r}, Services: testServices(), Keyed: true,
@@ -87,7 +87,8 @@
 	is.Equal(returned, 0)
 }
 
-// TestAGrantLapsesWhileTheHostIsSuspended: the steady clock stands still, the grant's time does not.
+// TestAGrantLapsesWhileTheHostIsSuspended: the monotonic clock stops during a suspension, but the
+// validity of a grant does not.
 func TestAGrantLapsesWhileTheHostIsSuspended(t *testing.T) {
 	is := is.New(t)
 	r := newReplica(t, "x", whole)
@@ -98,7 +99,7 @@
 	is.Equal(r.count(), 0)
 }
 
-func TestAnUnknownKeyIsRefusedWithoutAnAsk(t *testing.T) {
+func TestUnknownKeyIsRefusedWithoutAdmissionRequest(t *testing.T) {
 	is := is.New(t)
 	r := newReplica(t, "x", whole)
 	f := granting()
@@ -110,7 +111,7 @@
 	is.Equal(asked, 0)
 }
 
-func TestASpentAccountIsRefusedAtOnceWithATimeToComeBack(t *testing.T) {
+func TestSpentAccountIsRefusedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
 	r := newReplica(t, "x", whole)
 	f := granting()
@@ -122,9 +123,9 @@
 	is.Equal(r.count(), 0)
 }
 
-// TestAGatewayThatIsNotTrustedRefusesKeysAndServesAnonymousRoutes also for keys that it
-// does not know: they may have come since.
-func TestAGatewayThatIsNotTrustedRefusesKeysAndServesAnonymousRoutes(t *testing.T) {
+// TestUnconfirmedConfigurationServesOnlyAnonymousRoutes: unknown keys are refused as undecided too,
+// since they may have been added meanwhile.
+func TestUnconfirmedConfigurationServesOnlyAnonymousRoutes(t *testing.T) {
 	is := is.New(t)
 	r := newReplica(t, "x", whole)
 	f := granting()
@@ -142,8 +143,8 @@
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
 }
 
-// TestAKeyThatIsTakenAwayWhileARequestWaitsDoesNotRun: the configuration is looked at
-// again right before each send.
+// TestAKeyThatIsTakenAwayWhileARequestWaitsDoesNotRun: the configuration is checked again right
+// before each send.
 func TestAKeyThatIsTakenAwayWhileARequestWaitsDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	rt := route(catalog.Safe, 2)
@@ -154,11 +155,12 @@
 	is.Equal(b.do("GET", "one", "", testKey+": k").status, http.StatusUnauthorized)
 	is.Equal(r.count(), 0)
 	_, returned := f.counts()
-	is.Equal(returned, 1) // what it was granted goes back
+	is.Equal(returned, 1) // the grant is returned
 }
 
-// TestWhatAReplicaDidNotRunPaysForTheNextSend, and goes back if there is none.
-func TestWhatAReplicaDidNotRunPaysForTheNextSend(t *testing.T) {
+// TestGrantOfRejectedAttemptIsReused: the grant covers the next attempt and is returned if there is
+// none.
+func TestGrantOfRejectedAttemptIsReused(t *testing.T) {
 	is := is.New(t)
 	f := granting()
 	full, other := newReplica(t, "x", notRunning), newReplica(t, "y", notRunning)
@@ -170,8 +172,9 @@
 	is.Equal(returned, 1)
 }
 
-// TestAGrantThatEndedIsAskedForAgain: a request that waited is counted when it is sent.
-func TestAGrantThatEndedIsAskedForAgain(t *testing.T) {
+// TestExpiredGrantIsRequestedAgain: a request that waited after its admission is counted when it is
+// sent.
+func TestExpiredGrantIsRequestedAgain(t *testing.T) {
 	is := is.New(t)
 	f := granting()
 	r := newReplica(t, "x", whole)
@@ -190,8 +193,8 @@
 	is.Equal(asked, 2)
 }
 
-// TestAGrantThatCameTooLateIsNotSpent: the gateway was frozen while it asked.
-func TestAGrantThatCameTooLateIsNotSpent(t *testing.T) {
+// TestExpiredGrantIsNotUsed: the gateway was suspended while it waited for the grant.
+func TestExpiredGrantIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	f := granting()
 	f.verdict.Until = time.Now()
--- a/src/exchange/backoff_ways_test.go
+++ b/src/exchange/backoff_sim_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The simulated service. Replicas that are full turn a request away and want nothing from that
-// gateway for a time, each gateway by itself.
+// The simulated service. Full replicas reject a request and ask the gateway that sent it for a
+// backoff, independently for each gateway.
 const (
 	simGateways = 6
 	simReplicas = 4
@@ -23,17 +23,17 @@
 	simTries    = 3
 )
 
-// simWay is how a request is treated for which all replicas are closed: it waits if the first one
-// opens within a time of its arrival.
-type simWay struct {
-	name   string
-	within time.Duration
-	// ordered says that those that wait stand in a line by priority and account; else each of them
-	// looks by itself.
+// simPolicy determines what happens to a request if no replica accepts requests: it waits if the
+// first backoff ends within maxWait of its arrival.
+type simPolicy struct {
+	name    string
+	maxWait time.Duration
+	// ordered is set if waiting requests are queued by priority and account. Otherwise each of them
+	// retries by itself.
 	ordered bool
 }
 
-var simWays = []simWay{
+var simPolicies = []simPolicy{
 	{"refused at once", 0, false},
 	{"waits an eighth of its target", simTarget / 8, true},
 	{"the same, without order", simTarget / 8, false},
@@ -43,15 +43,15 @@
 	{"waits within its deadline", simDeadline, true},
 }
 
-// simRequest is one caller's request.
+// simRequest is a request of one client.
 type simRequest struct {
-	came     time.Duration
-	priority int
-	gateway  int
-	tries    int
-	held     time.Duration
-	heldFrom time.Duration
-	w        *waiter
+	arrivedAt    time.Duration
+	priority     int
+	gateway      int
+	tries        int
+	waited       time.Duration
+	waitingSince time.Duration
+	w            *waiter
 }
 
 type simEvent struct {
@@ -72,30 +72,30 @@
 	return last
 }
 
-// simReplica works on requests and turns gateways away while it is full.
+// simReplica runs requests, and rejects them while it is full.
 type simReplica struct {
 	busy, queued int
 	waiting      []func()
 }
 
-// sim is one run.
+// sim is the state of one simulation.
 type sim struct {
-	way        simWay
-	rest       time.Duration
+	policy     simPolicy
+	backoff    time.Duration
 	random     *rand.Rand
 	now        time.Duration
 	events     simQueueOf
 	replicas   [simReplicas]simReplica
-	intakes    [simGateways][simReplicas]backoffState
+	backoffs   [simGateways][simReplicas]backoffState
 	waitQueues [simGateways]*waitQueues
-	// worth is what all callers got, urgentWorth what those of urgent requests did.
+	// worth is the total worth to all clients, urgentWorth to those with urgent requests.
 	worth, urgentWorth float64
 	sent, urgent       int
 	lateServed         int
-	turnedOff          int
+	rejected           int
 }
 
-var simLine = queueKey{service: "s"}
+var simKey = queueKey{service: "s"}
 
 func (s *sim) clock() time.Time { return noon.Add(s.now) }
 
@@ -103,17 +103,17 @@
 	heap.Push(&s.events, simEvent{at: s.now + d, do: do})
 }
 
-func runSim(way simWay, load float64, rest time.Duration, seed uint64) *sim {
-	s := &sim{way: way, rest: rest, random: rand.New(rand.NewPCG(seed, 43))}
+func runSim(policy simPolicy, load float64, backoff time.Duration, seed uint64) *sim {
+	s := &sim{policy: policy, backoff: backoff, random: rand.New(rand.NewPCG(seed, 43))}
 	for i := range s.waitQueues {
 		s.waitQueues[i] = newWaitQueues()
 	}
 	rate := load * simReplicas * simSlots / simWork.Seconds()
 	for at := 0.0; at < simSpan.Seconds(); at += s.random.ExpFloat64() / rate {
-		r := &simRequest{came: time.Duration(at * float64(time.Second)), priority: s.random.IntN(2), gateway: s.random.IntN(simGateways)}
+		r := &simRequest{arrivedAt: time.Duration(at * float64(time.Second)), priority: s.random.IntN(2), gateway: s.random.IntN(simGateways)}
 		s.sent++
 		s.urgent += 1 - r.priority
-		heap.Push(&s.events, simEvent{at: r.came, do: func() { s.offer(r, 0) }})
+		heap.Push(&s.events, simEvent{at: r.arrivedAt, do: func() { s.offer(r, 0) }})
 	}
 	for len(s.events) > 0 {
 		next := heap.Pop(&s.events).(simEvent)
@@ -123,11 +123,12 @@
 	return s
 }
 
-// offer sends a request to the open replica with the least work, or holds or refuses it.
+// offer sends a request to the accepting replica with the least load. If there is none, it lets the
+// request wait or refuses it.
 func (s *sim) offer(r *simRequest, tried int) {
 	best, opens := -1, time.Duration(0)
 	for i := range s.replicas {
-		from, taken := s.intakes[r.gateway][i].accepts(s.clock())
+		from, taken := s.backoffs[r.gateway][i].accepts(s.clock())
 		if !taken {
 			if wait := from.Sub(s.clock()); opens == 0 || wait < opens {
 				opens = wait
@@ -139,43 +140,43 @@
 		}
 	}
 	switch {
-	case best >= 0 && (r.w != nil || !s.way.ordered || !s.waitQueues[r.gateway].any(simLine)):
-		s.leaveLine(r)
+	case best >= 0 && (r.w != nil || !s.policy.ordered || !s.waitQueues[r.gateway].any(simKey)):
+		s.leaveQueue(r)
 		s.send(r, best, tried)
-	case tried != 0 || s.now+opens > r.came+s.way.within || s.way.within == 0:
-		s.leaveLine(r)
+	case tried != 0 || s.now+opens > r.arrivedAt+s.policy.maxWait || s.policy.maxWait == 0:
+		s.leaveQueue(r)
 		s.refuse(r, opens)
 	default:
 		s.wait(r, opens)
 	}
 }
 
-func (s *sim) leaveLine(r *simRequest) {
+func (s *sim) leaveQueue(r *simRequest) {
 	if r.w == nil {
 		return
 	}
-	r.held += s.now - r.heldFrom
-	s.waitQueues[r.gateway].remove(simLine, r.w)
+	r.waited += s.now - r.waitingSince
+	s.waitQueues[r.gateway].remove(simKey, r.w)
 	r.w = nil
 }
 
 func (s *sim) wait(r *simRequest, opens time.Duration) {
 	line := s.waitQueues[r.gateway]
 	if r.w == nil {
-		if r.w = line.enqueue(simLine, r.priority, "", simReplicas*simSlots); r.w == nil {
+		if r.w = line.enqueue(simKey, r.priority, "", simReplicas*simSlots); r.w == nil {
 			s.refuse(r, opens)
 			return
 		}
-		r.heldFrom = s.now
+		r.waitingSince = s.now
 	}
 	s.after(10*time.Millisecond, func() {
 		if line.wasEvicted(r.w) {
-			r.held += s.now - r.heldFrom
+			r.waited += s.now - r.waitingSince
 			r.w = nil
 			s.refuse(r, opens)
 			return
 		}
-		if s.way.ordered && !line.isFirst(simLine, r.w) && s.now < r.came+s.way.within {
+		if s.policy.ordered && !line.isFirst(simKey, r.w) && s.now < r.arrivedAt+s.policy.maxWait {
 			s.wait(r, opens)
 			return
 		}
@@ -184,7 +185,7 @@
 }
 
 func (s *sim) send(r *simRequest, to, tried int) {
-	in, replica := &s.intakes[r.gateway][to], &s.replicas[to]
+	in, replica := &s.backoffs[r.gateway][to], &s.replicas[to]
 	in.admit(s.clock())
 	s.after(time.Millisecond, func() {
 		if replica.busy < simSlots {
@@ -198,8 +199,8 @@
 			replica.waiting = append(replica.waiting, func() { s.run(r, replica) })
 			return
 		}
-		s.turnedOff++
-		in.backOff(s.clock(), s.rest, s.random.Float64())
+		s.rejected++
+		in.backOff(s.clock(), s.backoff, s.random.Float64())
 		s.offer(r, tried|1<<to)
 	})
 }
@@ -219,7 +220,7 @@
 }
 
 func (s *sim) done(r *simRequest) {
-	took := s.now - r.came
+	took := s.now - r.arrivedAt
 	worth := 0.0
 	switch {
 	case took <= simTarget:
@@ -238,46 +239,46 @@
 	}
 }
 
-// refuse ends a request, or lets its client come back when it is told to, if that is within a
-// third of its time. What was held and is not served costs by how long it was held.
+// refuse ends a request. Its client retries after the announced time if that is within a third of
+// the remaining time. Waiting in vain has a cost that grows with the time waited.
 func (s *sim) refuse(r *simRequest, opens time.Duration) {
 	r.tries++
 	back := jitterRetry(opens, s.random.Float64())
-	if left := r.came + simDeadline - s.now; r.tries < simTries && back <= left/3 {
+	if left := r.arrivedAt + simDeadline - s.now; r.tries < simTries && back <= left/3 {
 		r.gateway = s.random.IntN(simGateways)
 		s.after(back, func() { s.offer(r, 0) })
 		return
 	}
-	s.earn(r, -min(1, float64(r.held)/float64(simTarget)))
+	s.earn(r, -min(1, float64(r.waited)/float64(simTarget)))
 }
 
-// simCell is a time for which replicas want nothing, at a load.
+// simCell is one combination of backoff and load.
 type simCell struct {
-	rest time.Duration
-	load float64
+	backoff time.Duration
+	load    float64
 }
 
-// simMean returns the mean worth of a way over cells and seeds.
-func simMean(t *testing.T, way simWay, cells []simCell) float64 {
+// simMean returns the mean worth of a policy over cells and seeds.
+func simMean(t *testing.T, way simPolicy, cells []simCell) float64 {
 	sum := 0.0
 	for _, cell := range cells {
 		var total, urgent, late, off float64
 		for seed := range uint64(simSeeds) {
-			s := runSim(way, cell.load, cell.rest, seed)
+			s := runSim(way, cell.load, cell.backoff, seed)
 			total += s.worth / float64(s.sent) / simSeeds
 			urgent += s.urgentWorth / float64(s.urgent) / simSeeds
 			late += float64(s.lateServed) / float64(s.sent) / simSeeds
-			off += float64(s.turnedOff) / float64(s.sent) / simSeeds
+			off += float64(s.rejected) / float64(s.sent) / simSeeds
 		}
 		sum += total
-		t.Logf("%-34s wants nothing for %-5s load %.1f worth %.3f urgent %.3f late %.3f turned away %.3f", way.name, cell.rest, cell.load, total, urgent, late, off)
+		t.Logf("%-34s wants nothing for %-5s load %.1f worth %.3f urgent %.3f late %.3f turned away %.3f", way.name, cell.backoff, cell.load, total, urgent, late, off)
 	}
 	mean := sum / float64(len(cells))
 	t.Logf("%-34s mean worth %.3f", way.name, mean)
 	return mean
 }
 
-// simCells are all pairs of times and loads.
+// simCells returns all combinations of backoffs and loads.
 func simCells(rests []time.Duration, loads []float64) []simCell {
 	var cells []simCell
 	for _, rest := range rests {
@@ -288,17 +289,18 @@
 	return cells
 }
 
-// TestAShortWaitForAReplicaIsBestForCallers: the way that is built beats refusing at once and
-// waiting for as long as the target. With MOORSPOOL_WAYS set it prints all ways at all loads.
+// TestAShortWaitForAReplicaIsBestForCallers: the policy in use is better than refusing at once and
+// than waiting for the whole target. With MOORSPOOL_WAYS set, the test prints the results of all
+// policies at all loads.
 func TestAShortWaitForAReplicaIsBestForCallers(t *testing.T) {
 	if os.Getenv("MOORSPOOL_WAYS") != "" {
-		for _, way := range simWays {
+		for _, way := range simPolicies {
 			simMean(t, way, simCells([]time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second}, []float64{0.8, 1, 1.2, 2}))
 		}
 		return
 	}
 	cells := simCells([]time.Duration{300 * time.Millisecond, time.Second}, []float64{1, 2})
-	refused, short, long := simMean(t, simWays[0], cells), simMean(t, simWays[1], cells), simMean(t, simWays[4], cells)
+	refused, short, long := simMean(t, simPolicies[0], cells), simMean(t, simPolicies[1], cells), simMean(t, simPolicies[4], cells)
 	if short < refused || short < long {
 		t.Errorf("worth %.3f with a short wait, %.3f refused at once, %.3f with a long wait", short, refused, long)
 	}
--- a/src/exchange/intake_test.go
+++ b/src/exchange/backoff_test.go
@@ -24,8 +24,8 @@
 	return taken
 }
 
-// TestTheLaterEndHolds: a further word within the time lengthens it and never shortens it.
-func TestTheLaterEndHolds(t *testing.T) {
+// TestLatestBackoffEndCounts: another backoff during a backoff can extend it but never shortens it.
+func TestLatestBackoffEndCounts(t *testing.T) {
 	is := is.New(t)
 	var i backoffState
 	is.True(i.backOff(noon, 3*time.Second, 0))
@@ -36,9 +36,9 @@
 	is.True(taken(&i, noon.Add(5*time.Second)))
 }
 
-// TestGatewaysThatWereTurnedAwayTogetherDontComeTogether: no one before the time, all within a
-// tenth of it, and no moment has more than its share.
-func TestGatewaysThatWereTurnedAwayTogetherDontComeTogether(t *testing.T) {
+// TestGatewaysRejectedTogetherReturnSpreadOut: no gateway returns before the backoff ends, all
+// return within a tenth of it, spread evenly.
+func TestGatewaysRejectedTogetherReturnSpreadOut(t *testing.T) {
 	is := is.New(t)
 	const gateways = 300
 	random := rand.New(rand.NewPCG(1, 2))
@@ -63,8 +63,8 @@
 	is.True(most < 3*gateways/30)
 }
 
-// TestALongTimeIsCut to one after which a single request tries again.
-func TestALongTimeIsCut(t *testing.T) {
+// TestLongBackoffIsShortened: after the longest allowed backoff a single trial request is sent.
+func TestLongBackoffIsShortened(t *testing.T) {
 	is := is.New(t)
 	var i backoffState
 	i.backOff(noon, math.MaxInt64, 0)
@@ -73,9 +73,9 @@
 	is.True(!i.admit(noon.Add(maxBackoff)))
 }
 
-// TestFewTryBeforeMany: once the time is over one request goes, their number doubles while no
-// answer comes, the first good answer opens, and a further word closes again.
-func TestFewTryBeforeMany(t *testing.T) {
+// TestTrialRequestsDoubleUntilAccepted: after a backoff one request is sent, and the number doubles
+// until a response arrives. The first accepted request ends the trial, another backoff restarts it.
+func TestTrialRequestsDoubleUntilAccepted(t *testing.T) {
 	is := is.New(t)
 	var i backoffState
 	i.backOff(noon, time.Second, 0)
@@ -105,8 +105,9 @@
 	}
 }
 
-// TestAnEarlierAnswerOpensNothing: an answer to a request of before the word says nothing of it.
-func TestAnEarlierAnswerOpensNothing(t *testing.T) {
+// TestResponseBeforeBackoffEndDoesNotEndIt: a response to a request from before the backoff says
+// nothing about it.
+func TestResponseBeforeBackoffEndDoesNotEndIt(t *testing.T) {
 	is := is.New(t)
 	var i backoffState
 	i.backOff(noon, time.Second, 0)
@@ -114,8 +115,8 @@
 	is.True(!taken(&i, noon.Add(200*time.Millisecond)))
 }
 
-// TestARefusalWithoutATimeOpensNothing: the next trials still come one after the other.
-func TestARefusalWithoutATimeOpensNothing(t *testing.T) {
+// TestRejectionWithoutBackoffDoesNotEndTrial: further trial requests are still limited.
+func TestRejectionWithoutBackoffDoesNotEndTrial(t *testing.T) {
 	is := is.New(t)
 	now := noon
 	f := NewFleet("z", Dial, nil, func() time.Time { return now }, func() time.Time { return now })
@@ -126,13 +127,13 @@
 	is.True(f.admit(peer))
 	f.applyReply(peer, &Reply{NotRun: true})
 	is.True(!f.admit(peer))
-	f.applyReply(peer, &Reply{NotRun: true, Elsewhere: true}) // it took the request up and lacks the model
+	f.applyReply(peer, &Reply{NotRun: true, Elsewhere: true}) // it accepted the request but lacks the model
 	is.True(f.admit(peer))
 	is.True(f.admit(peer))
 }
 
-// TestLeavingIsNeverTakenBack by a good answer, by time or by a further word.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+// TestLeavingIsFinal: neither an accepted request nor time nor a backoff resets it.
+func TestLeavingIsFinal(t *testing.T) {
 	is := is.New(t)
 	var i backoffState
 	is.True(i.noteLeaving())
@@ -144,9 +145,9 @@
 	is.True(!i.admit(noon.Add(24 * time.Hour)))
 }
 
-// TestALaterStartKnowsNothingOfIt: what a start of a replica asked for binds no other start of the
-// same name, and the late word of an earlier start binds nobody.
-func TestALaterStartKnowsNothingOfIt(t *testing.T) {
+// TestBackoffDoesNotApplyToOtherIncarnations: a backoff of one incarnation does not apply to
+// another one of the same name, and neither does a late response of an earlier incarnation.
+func TestBackoffDoesNotApplyToOtherIncarnations(t *testing.T) {
 	is := is.New(t)
 	now := noon
 	f := NewFleet("z", Dial, nil, func() time.Time { return now }, func() time.Time { return now })
@@ -167,8 +168,8 @@
 	is.True(!f.acceptsWithoutPermit(earlier))
 }
 
-// TestASuspensionOfThisHostCounts: the replica's time runs on while this host stands still.
-func TestASuspensionOfThisHostCounts(t *testing.T) {
+// TestBackoffElapsesWhileHostIsSuspended: the replica's time passes while this host is suspended.
+func TestBackoffElapsesWhileHostIsSuspended(t *testing.T) {
 	is := is.New(t)
 	boot := noon
 	f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return boot })
@@ -180,8 +181,8 @@
 	is.True(f.acceptsWithoutPermit(peer))
 }
 
-// TestTheWordOfOneThatIsNotListedIsForgottenAtLast, and no more than a number of them are kept.
-func TestTheWordOfOneThatIsNotListedIsForgottenAtLast(t *testing.T) {
+// TestStatesOfUnlistedReplicasAreBounded: saved states expire, and their number is limited.
+func TestStatesOfUnlistedReplicasAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return noon })
 	for i := range maxUnlistedStates + 10 {
@@ -197,9 +198,9 @@
 	is.Equal(len(f.unlisted), 0)
 }
 
-// TestTheWordIsLoggedOnceEachTime: a line when the time begins, one when it is over, none for each
-// refusal within it; what can't be read is told.
-func TestTheWordIsLoggedOnceEachTime(t *testing.T) {
+// TestBackoffIsLoggedOnce: one line when a backoff begins and one when it is over, but none for
+// each rejection in between. A backoff that cannot be parsed is logged.
+func TestBackoffIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	now := noon
 	ring := event.NewRing("test", 64, nil, time.Now)
@@ -230,8 +231,8 @@
 	is.Equal(kinds, []event.Kind{event.BackoffAsked, event.BackoffOver, event.BackoffAsked, event.LeavingTold})
 }
 
-// TestARequestWaitsForAReplicaThatTakesRequestsSoon, and is served without a refusal.
-func TestARequestWaitsForAReplicaThatTakesRequestsSoon(t *testing.T) {
+// TestRequestWaitsForShortBackoff: the request is served without a refusal.
+func TestRequestWaitsForShortBackoff(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Unsafe, 1), x)
@@ -241,14 +242,15 @@
 	is.Equal(b.handler.waitQueues.waiting.Load(), int64(0))
 }
 
-// TestNoReplicaGetsMoreThanTwoOfAGatewayInItsTime is the rule as a property: over gateways,
-// replicas, their restarts under one name, words at any time, late answers and lists told anew, no
-// start of a replica gets more than two requests of one gateway between half a second after its
-// word and the end of the time; and one that asked for nothing is never kept from requests.
-func TestNoReplicaGetsMoreThanTwoOfAGatewayInItsTime(t *testing.T) {
+// TestAtMostTwoRequestsDuringABackoff checks the rule as a property, with several gateways and
+// replicas, restarts under one name, backoffs at any time, late responses and replicas that are
+// listed again. No incarnation gets more than two requests of one gateway between half a second
+// after its rejection and the end of the backoff, and an incarnation without a backoff always
+// accepts requests.
+func TestAtMostTwoRequestsDuringABackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		w := newIntakeWorld(seed)
+		w := newBackoffWorld(seed)
 		for range 400 {
 			w.step()
 		}
@@ -258,47 +260,47 @@
 	})
 }
 
-// intakeWorld is gateways' fleets and replicas on virtual time.
-type intakeWorld struct {
-	random *rand.Rand
-	now    time.Time
-	fleets []*Fleet
-	starts []*intakeStart
-	broken string
+// backoffWorld holds the fleets of several gateways and their replicas, on virtual time.
+type backoffWorld struct {
+	random       *rand.Rand
+	now          time.Time
+	fleets       []*Fleet
+	incarnations []*backoffIncarnation
+	broken       string
 }
 
-// intakeStart is one start of a replica, with its times by gateway.
-type intakeStart struct {
-	entry  registry.Entry
-	leaves bool
-	asked  map[int]time.Time
-	until  map[int]time.Time
-	within map[int]int
-	told   map[int]time.Time
+// backoffIncarnation is one incarnation of a replica, with its times by gateway.
+type backoffIncarnation struct {
+	entry       registry.Entry
+	leaving     bool
+	askedAt     map[int]time.Time
+	until       map[int]time.Time
+	sentWithin  map[int]int
+	announcedAt map[int]time.Time
 }
 
-func newIntakeWorld(seed uint64) *intakeWorld {
-	w := &intakeWorld{random: rand.New(rand.NewPCG(seed, 1)), now: noon}
+func newBackoffWorld(seed uint64) *backoffWorld {
+	w := &backoffWorld{random: rand.New(rand.NewPCG(seed, 1)), now: noon}
 	for range 1 + w.random.IntN(3) {
 		w.fleets = append(w.fleets, NewFleet("z", Dial, nil, func() time.Time { return w.now }, func() time.Time { return w.now }))
 	}
 	for i := range 1 + w.random.IntN(4) {
-		w.starts = append(w.starts, nil)
+		w.incarnations = append(w.incarnations, nil)
 		w.restart(i)
 	}
 	return w
 }
 
-// restart begins a new start at a place under the same name and address; two starts within one
-// millisecond could not be told apart.
-func (w *intakeWorld) restart(i int) {
+// restart starts a new incarnation with the same name and address. Two incarnations within one
+// millisecond could not be distinguished.
+func (w *backoffWorld) restart(i int) {
 	w.now = w.now.Add(time.Millisecond)
 	born := w.now.UnixMilli()
 	incarnation := registry.Incarnation{Name: fmt.Sprint("i", i), Born: born}
 	record := registry.Record{ID: incarnation.ID(), Name: incarnation.Name, Born: born, Service: "s", Address: fmt.Sprint("192.0.2.1:", i+1), Zone: "z", Slots: 4}
-	start := &intakeStart{entry: registry.Entry{Record: record}, asked: map[int]time.Time{}, until: map[int]time.Time{}, within: map[int]int{}, told: map[int]time.Time{}}
-	before := w.starts[i]
-	w.starts[i] = start
+	start := &backoffIncarnation{entry: registry.Entry{Record: record}, askedAt: map[int]time.Time{}, until: map[int]time.Time{}, sentWithin: map[int]int{}, announcedAt: map[int]time.Time{}}
+	before := w.incarnations[i]
+	w.incarnations[i] = start
 	for _, f := range w.fleets {
 		changes := registry.Changes{Entries: []registry.Entry{start.entry}}
 		if before != nil {
@@ -310,42 +312,42 @@
 	}
 }
 
-func (w *intakeWorld) step() {
+func (w *backoffWorld) step() {
 	w.now = w.now.Add(time.Duration(w.random.IntN(120)) * time.Millisecond)
-	i, g := w.random.IntN(len(w.starts)), w.random.IntN(len(w.fleets))
-	f, start := w.fleets[g], w.starts[i]
+	i, g := w.random.IntN(len(w.incarnations)), w.random.IntN(len(w.fleets))
+	f, start := w.fleets[g], w.incarnations[i]
 	switch w.random.IntN(20) {
 	case 0:
 		w.restart(i)
 	case 1:
-		start.leaves = true
+		start.leaving = true
 	case 2:
 		f.SetReplicas(registry.Changes{Removed: []string{start.entry.Record.ID}})
 		f.Tidy(w.now)
 		f.SetReplicas(registry.Changes{Entries: []registry.Entry{start.entry}})
 	case 3:
-		// A late answer of an earlier start.
+		// A late response of an earlier incarnation.
 		f.applyReply(newPeer(registry.Record{ID: fmt.Sprint("i", i, "@0")}, nil), &Reply{Backoff: time.Hour, Leaving: true})
 	default:
 		w.send(g)
 	}
-	for _, s := range w.starts {
+	for _, s := range w.incarnations {
 		peer := f.Peer(s.entry.Record.ID)
-		if !s.leaves && s.until[g].IsZero() && !f.acceptsWithoutPermit(peer) {
+		if !s.leaving && s.until[g].IsZero() && !f.acceptsWithoutPermit(peer) {
 			w.broken = s.entry.Record.ID + " asked for nothing and is kept from requests"
 		}
 	}
 }
 
-// send sends a request as a gateway does, and lets the replica answer.
-func (w *intakeWorld) send(g int) {
+// send sends a request as a gateway does and applies the replica's response.
+func (w *backoffWorld) send(g int) {
 	f := w.fleets[g]
 	choice := f.Pick(w.now, Requirements{Service: "s"}, nil)
 	if choice.Verdict != Chosen || !f.admit(choice.Peer) {
 		return
 	}
-	var start *intakeStart
-	for _, s := range w.starts {
+	var start *backoffIncarnation
+	for _, s := range w.incarnations {
 		if s.entry.Record.ID == choice.Peer.ID() {
 			start = s
 		}
@@ -353,21 +355,21 @@
 	if start == nil {
 		return
 	}
-	if told := start.told[g]; !told.IsZero() {
+	if announcedAt := start.announcedAt[g]; !announcedAt.IsZero() {
 		w.broken = start.entry.Record.ID + " got a request after it had said that it leaves"
 	}
-	if w.now.Before(start.until[g]) && w.now.Sub(start.asked[g]) > 500*time.Millisecond {
-		if start.within[g]++; start.within[g] > 2 {
+	if w.now.Before(start.until[g]) && w.now.Sub(start.askedAt[g]) > 500*time.Millisecond {
+		if start.sentWithin[g]++; start.sentWithin[g] > 2 {
 			w.broken = start.entry.Record.ID + " got too many requests in its time"
 		}
 	}
-	reply := Reply{Leaving: start.leaves}
+	reply := Reply{Leaving: start.leaving}
 	if reply.Leaving {
-		start.told[g] = w.now
+		start.announcedAt[g] = w.now
 	}
 	if w.random.IntN(3) == 0 {
 		reply.Backoff = time.Duration(w.random.IntN(4000)) * time.Millisecond
-		start.asked[g], start.within[g] = w.now, 0
+		start.askedAt[g], start.sentWithin[g] = w.now, 0
 		if until := w.now.Add(reply.Backoff); until.After(start.until[g]) {
 			start.until[g] = until
 		}
--- a/src/exchange/backup_test.go
+++ b/src/exchange/backup_test.go
@@ -10,8 +10,8 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// crashSite has two replicas of a model whose streams may be backed up. The first one that
-// is asked stops after its second event, as the test says.
+// crashSite has two replicas of a model whose runs can be backed up. The first one to get a request
+// stops after its second event, in the way given by the test.
 type crashSite struct {
 	*bench
 	replicas []*fakeReplica
@@ -55,7 +55,7 @@
 	return true
 }
 
-func (s *crashSite) ask() got {
+func (s *crashSite) ask() clientResponse {
 	return s.do("POST", "one", "x", testModel+": m", testTokens+": 500")
 }
 
@@ -66,7 +66,8 @@
 	return s.replicas[0]
 }
 
-// TestAStreamGoesOnFromTheCopyOfItsRun after a crash, though its route may not repeat.
+// TestAStreamGoesOnFromTheCopyOfItsRun: after a crash the stream is continued even if its route
+// does not allow repeats.
 func TestAStreamGoesOnFromTheCopyOfItsRun(t *testing.T) {
 	is := is.New(t)
 	s := newCrashSite(t, func(_ arrival, r *fakeReplica) bool {
@@ -83,16 +84,16 @@
 	is.Equal(got.header.Get(testStamp), s.first.id+".one")
 }
 
-// TestAStreamOfAReplicaThatIsThereGoesOnNowhere: it may still be at work on the request.
-func TestAStreamOfAReplicaThatIsThereGoesOnNowhere(t *testing.T) {
+// TestStreamOfReachableReplicaIsNotContinued: the replica may still be running the request.
+func TestStreamOfReachableReplicaIsNotContinued(t *testing.T) {
 	is := is.New(t)
 	s := newCrashSite(t, func(arrival, *fakeReplica) bool { return false })
 	is.True(s.ask().err != nil)
 	is.Equal(s.other().count(), 0)
 }
 
-// TestAReplicaThatFallsSilentIsFoundOut: a loss of power closes no connection.
-func TestAReplicaThatFallsSilentIsFoundOut(t *testing.T) {
+// TestSilentUnreachableReplicaIsDetected: a power loss closes no connection.
+func TestSilentUnreachableReplicaIsDetected(t *testing.T) {
 	is := is.New(t)
 	s := newCrashSite(t, func(_ arrival, r *fakeReplica) bool {
 		_ = r.listener.Close()
@@ -103,7 +104,7 @@
 	is.Equal(events(got.body), []string{"1", "2", "3", "4"})
 }
 
-// TestShortStreamsAreNotBackedUp: they mostly end before their replica does.
+// TestShortStreamsAreNotBackedUp: short streams mostly end before their replica fails.
 func TestShortStreamsAreNotBackedUp(t *testing.T) {
 	is := is.New(t)
 	s := newCrashSite(t, func(arrival, *fakeReplica) bool { return false })
--- a/src/exchange/budget_test.go
+++ b/src/exchange/budget_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetHoldsInEveryWindow: whatever the times of requests and repeats, the
-// repeats of several gateways in any window stay within ratio and extra.
+// TestBudgetHoldsInEveryWindow: for any times of requests and repeats, the repeats of all gateways
+// in any window stay within ratio and extra.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := BudgetLimits{Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Extra: float64(rapid.IntRange(0, 60).Draw(t, "extra")), Window: 10 * time.Second}
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestTheSameShareIsLeftAfterALongRest(t *testing.T) {
+func TestIdleBudgetKeepsItsShare(t *testing.T) {
 	b := NewBudget(BudgetLimits{Extra: 10, Window: 10 * time.Second})
 	now := time.Unix(1_800_000_000, 0)
 	for range 3 {
--- a/src/exchange/cold_test.go
+++ b/src/exchange/cold_test.go
@@ -16,13 +16,13 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// stopClock lets no time pass on the clock that counts suspensions.
+// stopClock stops the clock that counts while the host is suspended.
 func (b *bench) stopClock() {
 	now := b.fleet.bootNow()
 	b.fleet.bootNow = func() time.Time { return now }
 }
 
-// coldBench is a bench with one cold replica and permits that a function gives.
+// coldBench is a bench with one cold replica. Permit requests are answered by the given function.
 func coldBench(t *testing.T, ask func(wire.PermitRequest) (wire.PermitReply, error), others ...*fakeReplica) (*bench, *fakeReplica) {
 	t.Helper()
 	cold := newReplica(t, "x", whole)
@@ -51,9 +51,9 @@
 	is.Equal(asked, 3)
 }
 
-// TestAWarmReplicaServesWhatGetsNoPermit, and a request for which there is none is refused with the
-// time at which there is a permit.
-func TestAWarmReplicaServesWhatGetsNoPermit(t *testing.T) {
+// TestRequestWithoutPermitIsServedByWarmReplica: if there is no warm replica, the request is
+// refused and Retry-After names the time at which a permit is available.
+func TestRequestWithoutPermitIsServedByWarmReplica(t *testing.T) {
 	is := is.New(t)
 	refuse := func(wire.PermitRequest) (wire.PermitReply, error) {
 		return wire.PermitReply{Known: true, WaitUS: 30_000_000}, nil
@@ -71,13 +71,13 @@
 	is.NoErr(err)
 	is.True(wait >= 30)
 	choice := b.fleet.Pick(time.Now(), Requirements{Service: "s", MaxPermitWait: ratelimit.Ahead}, nil)
-	is.Equal(choice.Verdict, NotAccepting) // it is not held for what won't come
+	is.Equal(choice.Verdict, NotAccepting) // it does not wait for a permit that comes too late
 	is.True(choice.AcceptsIn > ratelimit.Ahead)
 	is.Equal(cold.count(), 0)
 }
 
-// TestAPermitThatComesTooLateIsNotUsed: its answer was on the way, or this host suspended, for longer
-// than it lasts.
+// TestAPermitThatComesTooLateIsNotUsed: the reply was delayed, or the host suspended, for longer
+// than the permit is valid.
 func TestAPermitThatComesTooLateIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	var slept atomic.Int64
@@ -91,7 +91,7 @@
 	is.Equal(cold.count(), 0)
 }
 
-// TestAPermitIsUsedOnce and for one replica only.
+// TestAPermitIsUsedOnce: a permit is valid for one send to one replica.
 func TestAPermitIsUsedOnce(t *testing.T) {
 	is := is.New(t)
 	b, cold := coldBench(t, func(wire.PermitRequest) (wire.PermitReply, error) { return wire.PermitReply{}, nil })
@@ -104,8 +104,8 @@
 	is.Equal(cold.count(), 0)
 }
 
-// TestAZoneWhoseDrainEndsFillsWithPermits: its replicas may have become cold, which they tell with
-// their next call.
+// TestAZoneWhoseDrainEndsFillsWithPermits: the replicas may have become cold during the drain,
+// which they only report with their next heartbeat.
 func TestAZoneWhoseDrainEndsFillsWithPermits(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
@@ -123,8 +123,7 @@
 	is.Equal(x.count(), 1)
 }
 
-// TestAServiceThatBoundsNothingNeedsNoPermits.
-func TestAServiceThatBoundsNothingNeedsNoPermits(t *testing.T) {
+func TestServiceWithoutColdRateNeedsNoPermits(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	x.coldMS = 60000
--- a/src/exchange/conn_test.go
+++ b/src/exchange/conn_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// silentDials returns a dial function that answers nothing for a number of calls, as
-// where opening packets are lost, and counts them.
+// silentDials returns a dial function whose first calls time out, as if SYN packets were lost, and
+// a counter of the calls.
 func silentDials(silent int) (dialFunc, *int) {
 	count := 0
 	return func(ctx context.Context, _ string) (net.Conn, error) {
@@ -24,7 +24,7 @@
 	}, &count
 }
 
-func TestALostOpeningPacketIsRepeatedToTheOnlyReplica(t *testing.T) {
+func TestLostSYNIsRepeatedToTheOnlyReplica(t *testing.T) {
 	is := is.New(t)
 	dial, count := silentDials(1)
 	only := &Choice{}
@@ -34,7 +34,7 @@
 	is.Equal(*count, 2)
 }
 
-func TestASilentReplicaIsLeftSoonWhereThereIsAnother(t *testing.T) {
+func TestUnresponsiveReplicaIsGivenUpEarlyIfThereIsAnother(t *testing.T) {
 	is := is.New(t)
 	dial, count := silentDials(100)
 	one := &Choice{Alternatives: 2}
--- a/src/exchange/coming_test.go
+++ b/src/exchange/copywait_test.go
@@ -11,13 +11,13 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// coming lets a fleet know that the first copy of a model serves after a time.
-func (b *bench) coming(version uint64, model string, in time.Duration) {
+// expectCopy tells the fleet that the first copy of a model is loaded after the given time.
+func (b *bench) expectCopy(version uint64, model string, in time.Duration) {
 	b.fleet.SetHoldings(&wire.Holdings{Term: 1, Version: version, Coming: []wire.Coming{{Service: "s", Model: model, InMS: in.Milliseconds()}}})
 }
 
-// TestARequestWaitsForACopyThatIsBeingLoaded, beyond the part of its target for which it waits
-// anyway: that is 0.9 s, the copy comes after 1.2 s.
+// TestARequestWaitsForACopyThatIsBeingLoaded: the request waits longer than its usual share of the
+// target, which is 0.9 s. The copy is loaded after 1.2 s.
 func TestARequestWaitsForACopyThatIsBeingLoaded(t *testing.T) {
 	is := is.New(t)
 	r := route(catalog.Safe, 1)
@@ -26,7 +26,7 @@
 	b := newBench(t, r, x)
 	b.fleet.firstReplicaAt.Store(1)
 	is.Equal(b.do("POST", "none", "x", testModel+": n").status, http.StatusServiceUnavailable)
-	b.coming(1, "n", 1200*time.Millisecond)
+	b.expectCopy(1, "n", 1200*time.Millisecond)
 	time.AfterFunc(1200*time.Millisecond, func() {
 		b.fleet.SetHoldings(&wire.Holdings{Term: 1, Version: 2, Copies: []wire.Holding{{Replica: "x", Model: "n"}}})
 	})
@@ -34,19 +34,17 @@
 	is.Equal(x.count(), 1)
 }
 
-// TestACopyThatComesBetweenTheTwoLooksIsUsed
-//
-// A request that waited for the copy of its model was refused as the copy came: it had looked for a
-// copy in vain, and then asked whether one was coming, which it was no more. Evidence: the refusal's
-// time is that of the word that the copy serves.
-func TestACopyThatComesBetweenTheTwoLooksIsUsed(t *testing.T) {
+// TestCopyLoadedBetweenChoiceAndCheckIsUsed: a request that waited for its model was refused in the
+// moment in which the model was loaded. The choice had not found a copy yet, and the following
+// check no longer found one being loaded.
+func TestCopyLoadedBetweenChoiceAndCheckIsUsed(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, route(catalog.Safe, 1), newReplica(t, "x", whole))
 	b.fleet.firstReplicaAt.Store(1)
 	now := time.Now()
 	r := route(catalog.Safe, 1)
 	request := &call{handler: b.handler, route: &r, service: "s", facts: Facts{Model: "n"}, startedAt: now.Add(-time.Second), deadline: now.Add(10 * time.Second)}
-	b.coming(1, "n", time.Millisecond)
+	b.expectCopy(1, "n", time.Millisecond)
 	looked := b.fleet.Pick(now, request.requirements(), nil)
 	is.Equal(looked.Verdict, ModelMissing)
 	is.True(request.keepsWaiting(now, request.requirements(), looked))
@@ -56,9 +54,10 @@
 	is.True(!request.keepsWaiting(now, request.requirements(), looked))
 }
 
-// TestWhatIsWorthWaitingFor: a copy that serves before the client's deadline and before it leaves; a
-// gateway that stops holds nothing. What is not waited for is told when the copy serves.
-func TestWhatIsWorthWaitingFor(t *testing.T) {
+// TestWaitsOnlyForCopiesInTime: a request waits for a copy only if it is loaded before the client's
+// deadline and before the client gives up, and never at a stopping gateway. Otherwise the client is
+// told when the copy is loaded.
+func TestWaitsOnlyForCopiesInTime(t *testing.T) {
 	r := route(catalog.Unsafe, 1)
 	r.Target = 400 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -81,7 +80,7 @@
 			b := newBench(t, r, newReplica(t, "x", whole))
 			now := time.Unix(1_800_000_000, 0)
 			b.fleet.now = func() time.Time { return now }
-			b.coming(1, "n", c.in)
+			b.expectCopy(1, "n", c.in)
 			if c.stopping {
 				b.handler.Stop()
 			}
--- a/src/exchange/ending_test.go
+++ b/src/exchange/crash_test.go
@@ -12,34 +12,35 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// crashTest is endings on a clock of the test's, with what dials find, and what they tell.
+// crashTest is a crashDetector with a test clock. It records the reported crashes; found is the
+// result of each dial.
 type crashTest struct {
 	crashDetector *crashDetector
 	now           time.Time
 	found         dialResult
-	told          []toldEnd
+	reported      []reportedCrash
 }
 
-type toldEnd struct {
-	life  string
-	under []quarantine.Digest
+type reportedCrash struct {
+	replica  string
+	inFlight []quarantine.Digest
 }
 
-func newEndingsTest() *crashTest {
+func newCrashTest() *crashTest {
 	e := &crashTest{now: time.Unix(1_800_000_000, 0)}
-	e.crashDetector = newCrashDetector(func() time.Time { return e.now }, func(_ time.Time, life string, under []quarantine.Digest, _ string) {
-		e.told = append(e.told, toldEnd{life: life, under: under})
+	e.crashDetector = newCrashDetector(func() time.Time { return e.now }, func(_ time.Time, replica string, inFlight []quarantine.Digest, _ string) {
+		e.reported = append(e.reported, reportedCrash{replica: replica, inFlight: inFlight})
 	})
 	e.crashDetector.dialResult = func(context.Context, *Peer) dialResult { return e.found }
 	return e
 }
 
-// connectionBroke breaks a connection and waits for the dial.
+// connectionBroke breaks a connection and waits for the result of the dial.
 func (e *crashTest) connectionBroke(peer *Peer, digest quarantine.Digest) {
 	<-e.crashDetector.connectionBroke(e.now, peer, digest)
 }
 
-func endingPeer(id string) *Peer {
+func crashPeer(id string) *Peer {
 	return newPeer(registry.Record{ID: id, Address: "192.0.2.1:1"}, nil)
 }
 
@@ -48,61 +49,62 @@
 	secondContent = quarantine.Content{Target: "/second"}.Digest()
 )
 
-// TestARefusedDialProvesTheEnd: all that was under way is named, what broke later too, and
-// each end is told once for a request.
-func TestARefusedDialProvesTheEnd(t *testing.T) {
+// TestRefusedDialConfirmsCrash: the crash is reported with all requests in flight, also with one
+// whose connection is found broken later. Each request is reported once.
+func TestRefusedDialConfirmsCrash(t *testing.T) {
 	is := is.New(t)
-	e := newEndingsTest()
-	peer := endingPeer("a@7")
+	e := newCrashTest()
+	peer := crashPeer("a@7")
 	e.crashDetector.clientLeft(e.now, peer, secondContent)
 	e.found = dialRefused
 	e.connectionBroke(peer, firstContent)
-	is.Equal(len(e.told), 1)
-	is.Equal(e.told[0].life, "a@7")
-	is.Equal(e.told[0].under, []quarantine.Digest{secondContent, firstContent})
+	is.Equal(len(e.reported), 1)
+	is.Equal(e.reported[0].replica, "a@7")
+	is.Equal(e.reported[0].inFlight, []quarantine.Digest{secondContent, firstContent})
 	third := quarantine.Content{Target: "/third"}.Digest()
-	e.connectionBroke(peer, third) // its connection was the last to be seen broken
-	is.Equal(len(e.told), 2)
-	is.Equal(e.told[1].under, []quarantine.Digest{third})
+	e.connectionBroke(peer, third) // its connection is found broken after the crash was confirmed
+	is.Equal(len(e.reported), 2)
+	is.Equal(e.reported[1].inFlight, []quarantine.Digest{third})
 }
 
-// TestABrokenConnectionAloneProvesNothing: a replica that resets connections, or that said
-// that it leaves, has not ended under its requests.
-func TestABrokenConnectionAloneProvesNothing(t *testing.T) {
+// TestBrokenConnectionAloneIsNoCrash: a replica that resets connections, or that announced to
+// leave, has not crashed.
+func TestBrokenConnectionAloneIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	e := newEndingsTest()
+	e := newCrashTest()
 	e.found = dialAccepted
-	peer := endingPeer("a")
+	peer := crashPeer("a")
 	e.connectionBroke(peer, firstContent)
 	e.now = e.now.Add(suspectTTL + time.Second)
-	e.crashDetector.confirm(e.now, "a", "later") // too late to say anything of that request
-	leaving := endingPeer("b")
+	e.crashDetector.confirm(e.now, "a", "later") // the request no longer counts as in flight
+	leaving := crashPeer("b")
 	leaving.record.Draining = true
 	e.found = dialRefused
 	e.connectionBroke(leaving, firstContent)
-	is.Equal(len(e.told), 0)
+	is.Equal(len(e.reported), 0)
 }
 
-// TestAnUnreachableReplicaIsProvedByItsNextStart: silence may be a cut; another start at the
-// address, or under the ID, is proof.
-func TestAnUnreachableReplicaIsProvedByItsNextStart(t *testing.T) {
+// TestNextIncarnationConfirmsCrashOfUnreachableReplica: an unreachable replica may only be
+// disconnected. Another incarnation at its address or with its name proves the crash.
+func TestNextIncarnationConfirmsCrashOfUnreachableReplica(t *testing.T) {
 	is := is.New(t)
-	e := newEndingsTest()
+	e := newCrashTest()
 	e.found = dialTimedOut
-	peer := endingPeer("a@7")
+	peer := crashPeer("a@7")
 	e.connectionBroke(peer, firstContent)
-	is.Equal(len(e.told), 0)
+	is.Equal(len(e.reported), 0)
 	e.now = e.now.Add(unreachableSuspectTTL - time.Second)
 	e.crashDetector.confirm(e.now, "a@7", "it started again")
-	is.Equal(len(e.told), 1)
-	is.Equal(e.told[0].under, []quarantine.Digest{firstContent})
+	is.Equal(len(e.reported), 1)
+	is.Equal(e.reported[0].inFlight, []quarantine.Digest{firstContent})
 	e.now = e.now.Add(unreachableSuspectTTL + time.Second)
 	e.crashDetector.expire(e.now)
 	is.Equal(len(e.crashDetector.candidates), 0)
 }
 
-// TestTheControlNodesWordOnANextStartIsAWitness: what the fleet learns reaches the endings.
-func TestTheControlNodesWordOnANextStartIsAWitness(t *testing.T) {
+// TestReplacedReplicaIsReportedToCrashHandler: a replacement listed by the control nodes reaches
+// the crash handler.
+func TestReplacedReplicaIsReportedToCrashHandler(t *testing.T) {
 	is := is.New(t)
 	fleet := NewFleet("z", nil, nil, time.Now, time.Now)
 	var ended []string
@@ -111,13 +113,14 @@
 	fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: record}}})
 	record.Sequence = 5
 	fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: record}}})
-	is.Equal(len(ended), 0) // a later word of the same start
+	is.Equal(len(ended), 0) // an update of the same incarnation
 	fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: record, Replaced: true}}})
 	is.Equal(ended, []string{"a@7"})
 }
 
-// TestAnEndIsSeenOnEachWayOfAnswering: with the head, the body or a stream still to come.
-func TestAnEndIsSeenOnEachWayOfAnswering(t *testing.T) {
+// TestCrashIsDetectedAtEveryStageOfAResponse: the crash happens before the head, within the body,
+// before the first event and within the stream.
+func TestCrashIsDetectedAtEveryStageOfAResponse(t *testing.T) {
 	for _, way := range []struct {
 		name string
 		kind catalog.Kind
@@ -145,9 +148,9 @@
 	}
 }
 
-// TestAnEndWithoutAWordIsProvedByTheNextStart: a replica that lost its power closes nothing; the
-// request's time runs out, and the start that follows at the address tells what became of it.
-func TestAnEndWithoutAWordIsProvedByTheNextStart(t *testing.T) {
+// TestNextIncarnationConfirmsCrashAfterTimeout: a replica that lost power closes no connection, so
+// the request times out. The next incarnation at the address confirms the crash.
+func TestNextIncarnationConfirmsCrashAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
 	f := newReplica(t, "a", func(arrival) bool { <-hold; return false })
--- a/src/exchange/explain_test.go
+++ b/src/exchange/explain_test.go
@@ -14,7 +14,7 @@
 	"github.com/moorspool/moorspool/src/event"
 )
 
-// logText collects a process's log.
+// logText collects the log of a process.
 type logText struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -26,7 +26,7 @@
 	return l.text.Write(p)
 }
 
-// about returns the lines that name a word, as grep does.
+// about returns the lines that contain a word.
 func (l *logText) about(word string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +39,7 @@
 	return strings.Join(found, "\n")
 }
 
-// logged lets a bench write its log.
+// logged makes a bench write a log and returns it.
 func (b *bench) logged() *logText {
 	text := &logText{}
 	logger := event.NewLogger(text, "gateway-1")
@@ -50,8 +50,8 @@
 	return text
 }
 
-// explained waits for the line of a request's end, which is written after the
-// client has its answer.
+// explained waits for the log line with the request's result, which is written after the response
+// to the client.
 func explained(t *testing.T, text *logText, request string) string {
 	t.Helper()
 	for range 1000 {
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// TestTheLogExplainsThreeFailures leads from a request's id to its cause with
-// nothing but the log, as docs/OPERATIONS.md says.
+// TestTheLogExplainsThreeFailures finds the cause of a failure by the request ID in the log alone,
+// as described in docs/OPERATIONS.md.
 func TestTheLogExplainsThreeFailures(t *testing.T) {
 	t.Run("refused though there was room", func(t *testing.T) {
 		is := is.New(t)
@@ -105,7 +105,7 @@
 		is.True(strings.Contains(lines, "event=704"))
 		is.True(strings.Contains(lines, "host=a"))
 		is.True(strings.Contains(lines, "of 1 candidates"))
-		is.True(strings.Contains(lines, "waiting 3 of 4")) // the cause: its queue
+		is.True(strings.Contains(lines, "waiting 3 of 4")) // the cause: queued requests
 		is.True(strings.Contains(lines, "ms old"))
 	})
 }
--- a/src/exchange/fake_test.go
+++ b/src/exchange/fake_test.go
@@ -20,7 +20,7 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// The test codec's headers.
+// Headers of the test codec.
 const (
 	testID       = "Request-Name"
 	testNotRun   = "Not-Run"
@@ -41,7 +41,7 @@
 	testLimit    = "Most-A-Second"
 )
 
-// testServices is the one service of the tests, which bounds what a cold replica gets.
+// testServices returns the only service of the tests. It limits the requests to cold replicas.
 func testServices() []catalog.Service { return []catalog.Service{{Name: "s", ColdRate: 4}} }
 
 func testCodec() Codec {
@@ -82,20 +82,21 @@
 	}
 }
 
-// arrival is a request as a fake replica got it.
+// arrival is a request as received by a fake replica.
 type arrival struct {
 	replica string
 	request *http.Request
 	body    string
 	conn    net.Conn
-	// number counts the requests on the connection, from 1.
+	// number is the position of the request on its connection, from 1.
 	number int
 }
 
-// behaviour answers an arrival by writing to its connection; it reports whether to go on reading.
+// behaviour responds to an arrival by writing to its connection. It returns whether to read the
+// next request.
 type behaviour func(a arrival) bool
 
-// fakeReplica is a replica that does what a test says.
+// fakeReplica is a replica with a behaviour set by a test.
 type fakeReplica struct {
 	id       string
 	zone     string
@@ -104,7 +105,7 @@
 	mu       sync.Mutex
 	arrivals []arrival
 	act      behaviour
-	// early answers before the body is read.
+	// early makes the replica respond before it has read the body.
 	early bool
 	gone  chan struct{}
 }
@@ -163,7 +164,7 @@
 	}
 }
 
-// setAct changes what the replica does from now on.
+// setAct changes the behaviour of the replica.
 func (f *fakeReplica) setAct(act behaviour) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +185,7 @@
 
 func (a arrival) name() string { return a.request.Header.Get(testID) }
 
-// answer writes a whole framed answer.
+// answer writes a complete response.
 func (a arrival) answer(status int, body string, headers ...string) {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n", status, testID, a.name(), testStamp, a.replica+"."+a.name(), len(body))
 	for _, header := range headers {
@@ -193,7 +194,7 @@
 	_, _ = io.WriteString(a.conn, text+"\r\n"+body)
 }
 
-// head writes a chunked answer's head, event one event of it.
+// head writes the head of a chunked response, event writes one event of it.
 func (a arrival) head() {
 	_, _ = fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n", testID, a.name(), testStamp, a.replica+"."+a.name())
 }
@@ -257,23 +258,23 @@
 	b.fleet.SetReplicas(registry.Changes{Entries: entries})
 }
 
-// got is an answer as the client has it.
-type got struct {
+// clientResponse is a response as received by the client.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (b *bench) do(method, name, body string, headers ...string) got {
+func (b *bench) do(method, name, body string, headers ...string) clientResponse {
 	b.t.Helper()
 	return b.doIn(context.Background(), method, name, body, headers...)
 }
 
-func (b *bench) doIn(ctx context.Context, method, name, body string, headers ...string) got {
+func (b *bench) doIn(ctx context.Context, method, name, body string, headers ...string) clientResponse {
 	request, err := http.NewRequestWithContext(ctx, method, b.server.URL+"/p/x%2Fy?q=1&q=2", strings.NewReader(body))
 	if err != nil {
-		return got{err: err}
+		return clientResponse{err: err}
 	}
 	request.Host = "h.example"
 	request.Header.Set(testID, name)
@@ -283,9 +284,9 @@
 	}
 	response, err := b.server.Client().Do(request)
 	if err != nil {
-		return got{err: err}
+		return clientResponse{err: err}
 	}
 	defer response.Body.Close()
 	read, err := io.ReadAll(response.Body)
-	return got{status: response.StatusCode, header: response.Header, body: string(read), err: err}
+	return clientResponse{status: response.StatusCode, header: response.Header, body: string(read), err: err}
 }
--- a/src/exchange/fleet_bench_test.go
+++ b/src/exchange/fleet_bench_test.go
@@ -9,11 +9,10 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// fleetSizes are the replicas of the users' grown and large installations, and of their
-// first letter's size in two years.
+// fleetSizes are the numbers of replicas in typical and large installations.
 var fleetSizes = []int{100, 240, 780}
 
-// benchEntry is a replica with three models and eight adapters.
+// benchEntry is a replica with three models and nine adapters.
 func benchEntry(i int, sequence uint64) registry.Entry {
 	record := registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Zone: "z", Slots: 64, Sequence: sequence}
 	for m := range 3 {
@@ -34,7 +33,7 @@
 	return f
 }
 
-// BenchmarkOneReplicaChanges is what a gateway does for one piece of news.
+// BenchmarkOneReplicaChanges measures a gateway's work for one change of a replica.
 func BenchmarkOneReplicaChanges(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -48,7 +47,7 @@
 	}
 }
 
-// BenchmarkHoldingsChange is what a gateway does when one adapter is on its way.
+// BenchmarkHoldingsChange measures a gateway's work when one adapter is being loaded.
 func BenchmarkHoldingsChange(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -61,7 +60,7 @@
 	}
 }
 
-// BenchmarkPick is what a choice among a model's copies costs.
+// BenchmarkPick measures a choice among the replicas of a model.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -73,10 +72,9 @@
 	}
 }
 
-// BenchmarkAdmit is what the question costs whether a replica takes requests, where none asked for
-// anything: 4 ns and no allocation. A choice (BenchmarkPick, three runs) took 1.29 to 1.44
-// microseconds before it asked and 1.23 to 1.40 since with 100 replicas, 1.50 to 1.51 and 1.50 to
-// 1.60 with 780.
+// BenchmarkAdmit measures the check whether a replica accepts requests if none asked for a backoff:
+// 4 ns and no allocation. Three runs of BenchmarkPick took 1.29 to 1.44 microseconds without the
+// check and 1.23 to 1.40 with it for 100 replicas, 1.50 to 1.51 and 1.50 to 1.60 for 780.
 func BenchmarkAdmit(b *testing.B) {
 	f := benchFleet(100)
 	peer := f.Peer("i-0")
--- a/src/exchange/fleet_test.go
+++ b/src/exchange/fleet_test.go
@@ -25,7 +25,7 @@
 	return f
 }
 
-// picks counts how often each replica is chosen of 50 times.
+// picks counts how often each replica is chosen in 50 choices.
 func picks(f *Fleet, now time.Time, want Requirements) map[string]int {
 	chosen := map[string]int{}
 	for range 50 {
@@ -36,7 +36,7 @@
 	return chosen
 }
 
-func TestLoadOfAllKindsTurnsAChoice(t *testing.T) {
+func TestEveryKindOfLoadAffectsTheChoice(t *testing.T) {
 	signs := map[string]func(p *Peer){
 		"own requests":   func(p *Peer) { p.startRequest(200 * time.Millisecond) },
 		"told load":      func(p *Peer) { p.updateLoad(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64}) },
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestOldSignsCountNoMore(t *testing.T) {
+func TestOldReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	p := f.peers["a"]
@@ -64,19 +64,19 @@
 	is.True(chosen["a"] > 0)
 }
 
-func TestPromptPartsPullToWhereTheyWereRead(t *testing.T) {
+func TestReplicaWithCachedPartsIsPreferred(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	parts := []Part{{ID: "p", Tokens: 400}, {ID: "q", Tokens: 200}}
 	f.Sent(noon, f.peers["b"], "m", parts, 0)
 	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}), map[string]int{"b": 50})
 	choice := f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}, nil)
-	is.Equal(choice.PrefillTokens, 400) // what is left to read there
-	// A part counts only if all before it were read there.
+	is.Equal(choice.PrefillTokens, 400) // the part that is not cached
+	// A part counts as cached only if all parts before it are cached.
 	is.Equal(f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: []Part{{ID: "x", Tokens: 100}, {ID: "p", Tokens: 400}}}, nil).PrefillTokens, 1000)
 }
 
-func TestHoldingsGoBeforeTheReplicasWords(t *testing.T) {
+func TestHoldingsOverrideReportedModels(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 1, Copies: []wire.Holding{
@@ -103,7 +103,7 @@
 	is.Equal(picks(f, noon, Requirements{Service: "s"}), map[string]int{"sound": 50})
 }
 
-// TestLoadIsSharedOnlyWhereReplicasDoNotTellIt: each answer says it anew elsewhere.
+// TestLoadIsSharedOnlyWhereReplicasDoNotTellIt: otherwise each response carries the current load.
 func TestLoadIsSharedOnlyWhereReplicasDoNotTellIt(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestAnAdapterLeavesWithItsModel: a copy that is about to be unloaded gets no request
-// for one of its adapters either.
+// TestAnAdapterLeavesWithItsModel: requests for an adapter are not sent to a copy of its model that
+// is being unloaded.
 func TestAnAdapterLeavesWithItsModel(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
@@ -137,8 +137,8 @@
 	is.Equal(len(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"})), 2)
 }
 
-// TestChangesOfAReplicaLeaveTheOthersAsTheyAre: the index after any changes is what one
-// made anew from the same words would be.
+// TestChangesOfAReplicaLeaveTheOthersAsTheyAre: after any changes the index equals one that is
+// built from scratch.
 func TestChangesOfAReplicaLeaveTheOthersAsTheyAre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return noon })
--- a/src/exchange/handler_test.go
+++ b/src/exchange/handler_test.go
@@ -44,14 +44,15 @@
 	b.do("GET", "two", "", testDeadline+": 60000")
 	left, err = strconv.Atoi(a.last().request.Header.Get(testDeadline))
 	is.NoErr(err)
-	is.True(left < 3000) // the route's time-out
+	is.True(left < 3000) // the route's timeout
 }
 
 func TestConnectionsAreKeptAndSurplusAnswersPassedOver(t *testing.T) {
 	is := is.New(t)
 	a := newReplica(t, "a", func(a arrival) bool {
 		if a.number == 2 {
-			// The surplus answer to the first request comes in the place of the second's.
+			// A second response to the first request arrives instead of the response to the second
+			// one.
 			late := a
 			late.request = a.request.Clone(context.Background())
 			late.request.Header.Set(testID, "one")
@@ -81,7 +82,7 @@
 	is.Equal(a.last().number, 1) // a new connection
 }
 
-func TestUnsafeRequestsRunAtMostOnceAndNeverGetAFalsePromise(t *testing.T) {
+func TestUnsafeRequestsRunAtMostOnceAndGetNoFalse503(t *testing.T) {
 	failures := map[string]behaviour{
 		"reset":   func(arrival) bool { return false },
 		"garbage": func(a arrival) bool { _, _ = io.WriteString(a.conn, "\x00\x01 what\r\n\r\n"); return false },
@@ -122,7 +123,7 @@
 	for name, act := range failures {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			// Whichever is tried first, the other one answers.
+			// The replica that is tried first fails, the other one responds.
 			first := make(chan struct{}, 1)
 			once := func(a arrival) bool {
 				select {
@@ -142,7 +143,7 @@
 	}
 }
 
-func TestARejectedRequestIsRefusedWithAPromise(t *testing.T) {
+func TestRejectedRequestIsRefusedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	a, c := newReplica(t, "a", notRunning), newReplica(t, "c", notRunning)
 	b := newBench(t, route(catalog.Unsafe, 1), a, c)
@@ -150,7 +151,7 @@
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
 	is.Equal(got.header.Get(testStamp), "")
-	is.Equal(a.count()+c.count(), 2) // each was asked once
+	is.Equal(a.count()+c.count(), 2) // one attempt at each
 }
 
 func TestAReplicasOwnFailureIsPassedOn(t *testing.T) {
@@ -163,7 +164,7 @@
 	is.Equal(got.header.Get(testStamp), "a.one")
 }
 
-func TestNothingInReachIsARefusalAtOnce(t *testing.T) {
+func TestNoReachableReplicaIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, route(catalog.Unsafe, 1))
 	got := b.do("POST", "one", "x")
@@ -230,7 +231,7 @@
 	}
 }
 
-// breaking breaks off in the middle of the event after the given one.
+// breaking breaks the stream off in the middle of the event after the given one.
 func breaking(after int) behaviour {
 	return func(a arrival) bool {
 		a.head()
@@ -292,7 +293,7 @@
 	b := newBench(t, route(catalog.Streaming, 3), a, newReplica(t, "c", breaking(2)))
 	got := b.do("POST", "one", "x")
 	is.True(got.err != nil)
-	is.Equal(events(got.body), []string{"1", "2"}) // no half event either
+	is.Equal(events(got.body), []string{"1", "2"}) // and no partial event
 }
 
 func TestAResumableStreamGoesOnElsewhereInTheSameAnswer(t *testing.T) {
@@ -333,7 +334,7 @@
 					a.event(1)
 				}
 				arrived <- struct{}{}
-				return true // it works on and answers nothing more
+				return true // it keeps working without a response
 			})
 			b := newBench(t, route(kind, 1), a)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -345,7 +346,7 @@
 	}
 }
 
-func TestADeadlineEndsARequestThatMayHaveRunWithoutAPromise(t *testing.T) {
+func TestRequestThatMayHaveRunTimesOutWith504(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, route(catalog.Unsafe, 1), newReplica(t, "a", func(arrival) bool { return true }))
 	got := b.do("POST", "one", "x", testDeadline+": 150")
--- a/src/exchange/pace_test.go
+++ b/src/exchange/pace_test.go
@@ -20,17 +20,17 @@
 	}
 }
 
-func TestAPromptWaitsWhileOthersAreReadAsLongAsAPauseAllows(t *testing.T) {
+func TestPromptWaitsIfBacklogExceedsGapTarget(t *testing.T) {
 	is := is.New(t)
 	c := pacedCall(0)
-	is.True(!c.mustPace(noon, Choice{PrefillTime: time.Second}))                                           // nothing is unread: waiting helps nobody
-	is.True(!c.mustPace(noon, Choice{Backlog: 60 * time.Millisecond, PrefillTime: 60 * time.Millisecond})) // both fit into a pause
+	is.True(!c.mustPace(noon, Choice{PrefillTime: time.Second}))                                           // no backlog, so waiting would not help
+	is.True(!c.mustPace(noon, Choice{Backlog: 60 * time.Millisecond, PrefillTime: 60 * time.Millisecond})) // both fit into the allowed pause
 	is.True(c.mustPace(noon, Choice{Backlog: 100 * time.Millisecond, PrefillTime: 60 * time.Millisecond}))
 	c.facts.Model = ""
-	is.True(!c.mustPace(noon, Choice{Backlog: time.Second, PrefillTime: time.Second})) // a plain service reads no prompts
+	is.True(!c.mustPace(noon, Choice{Backlog: time.Second, PrefillTime: time.Second})) // plain services have no prompts
 }
 
-func TestAPromptWaitsNoLongerThanItsOwnTargetAllows(t *testing.T) {
+func TestPacingWaitIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := pacedCall(0)
 	full := Choice{Backlog: time.Second, PrefillTime: 60 * time.Millisecond}
@@ -39,18 +39,18 @@
 	is.True(!c.mustPace(noon.Add(hold), full))
 }
 
-// TestNothingWaitsWherePromptsCannotMakePausesTooLong: an event of two tokens has room
-// for two pieces of prompts, whatever is unread.
-func TestNothingWaitsWherePromptsCannotMakePausesTooLong(t *testing.T) {
+// TestNoPacingIfPrefillCannotExceedGapTarget: an event of two tokens allows for two prefill chunks,
+// whatever the backlog is.
+func TestNoPacingIfPrefillCannotExceedGapTarget(t *testing.T) {
 	is := is.New(t)
 	c := pacedCall(0)
 	full := Choice{Backlog: time.Second, PrefillTime: 60 * time.Millisecond, ChunkTime: 50 * time.Millisecond}
 	c.tokensPerEvent = 6
-	is.True(c.mustPace(noon, full)) // 300 ms of pieces in an event, 250 allowed
+	is.True(c.mustPace(noon, full)) // 300 ms of chunks in an event, 250 allowed
 	c.tokensPerEvent = 2
 	is.True(!c.mustPace(noon, full))
 	c.tokensPerEvent = 0
-	is.True(c.mustPace(noon, full)) // not known: careful
+	is.True(c.mustPace(noon, full)) // unknown, so prompts are paced
 }
 
 func TestMoreUrgentPromptsGoFirst(t *testing.T) {
@@ -60,8 +60,8 @@
 	is.True(pacedCall(2).mustPace(noon, between))
 }
 
-// TestPromptsOfOtherGatewaysCount: answers tell no load, and a gateway by itself
-// would send where all others send.
+// TestPromptsOfOtherGatewaysCount: if responses carry no load, a gateway alone would choose the
+// same replica as all others.
 func TestPromptsOfOtherGatewaysCount(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
@@ -70,10 +70,10 @@
 	is.Equal(picks(f, noon, want), map[string]int{"b": 50})
 	f.peers["b"].failed(noon, true)
 	is.Equal(f.Pick(noon, want, nil).Backlog, 300*time.Millisecond)
-	is.True(picks(f, noon.Add(otherGatewaysLoadTTL), want)["a"] > 0) // an old word counts no more
+	is.True(picks(f, noon.Add(otherGatewaysLoadTTL), want)["a"] > 0) // an old report is ignored
 }
 
-// TestOwnRequestsAreNotCountedTwice: the totals contain what this gateway reported.
+// TestOwnRequestsAreNotCountedTwice: the totals include what this gateway reported.
 func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a")
@@ -99,9 +99,9 @@
 	r.Target = time.Minute
 	b := newBench(t, r, a)
 	is.Equal(b.do("POST", "earlier", "x", testModel+": m").status, 200) // leaves an idle connection
-	b.fleet.peers["a"].startRequest(r.Target / 2)                       // read in time, but with pauses for others
+	b.fleet.peers["a"].startRequest(r.Target / 2)                       // would be in time, but with pauses for others
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan got, 1)
+	ended := make(chan clientResponse, 1)
 	go func() { ended <- b.doIn(ctx, "POST", "one", "x", testModel+": m") }()
 	for b.handler.Running() == 0 {
 		time.Sleep(time.Millisecond)
@@ -114,8 +114,8 @@
 	is.Equal(a.count(), 1)
 }
 
-// TestBacklogsOfReplicasThatTellTheirLoad: their answers say how many requests run there,
-// and not how much they have still to read.
+// TestBacklogsOfReplicasThatTellTheirLoad: the load in responses does not include the prefill
+// backlog.
 func TestBacklogsOfReplicasThatTellTheirLoad(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
@@ -126,7 +126,7 @@
 	want := Requirements{Service: "s", Model: "m", PromptLength: 500}
 	is.Equal(picks(f, noon, want), map[string]int{"b": 50})
 	is.Equal(f.peers["a"].loadEstimate(noon).backlog, 300*time.Millisecond)
-	is.Equal(f.peers["a"].loadEstimate(noon.Add(200*time.Millisecond)).backlog, 100*time.Millisecond) // it reads on
+	is.Equal(f.peers["a"].loadEstimate(noon.Add(200*time.Millisecond)).backlog, 100*time.Millisecond) // the replica continues reading
 	f.Sent(noon, f.peers["a"], "m", nil, 50*time.Millisecond)
 	is.Equal(f.peers["a"].loadEstimate(noon).backlog, 350*time.Millisecond)
 	is.Equal(f.DrainPrompts().Sent, []wire.Sent{{Replica: "a", ReadMS: 50}})
--- a/src/exchange/parts_test.go
+++ b/src/exchange/partcache_test.go
@@ -10,8 +10,8 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// TestPartsAreForgottenOldestFirst, once as many came after them as are remembered.
-func TestPartsAreForgottenOldestFirst(t *testing.T) {
+// TestOldestPartsAreDroppedFirst: a part is dropped after as many others as are remembered.
+func TestOldestPartsAreDroppedFirst(t *testing.T) {
 	is := is.New(t)
 	var c partCache
 	first := []Part{{ID: "first", Tokens: 7}}
@@ -32,9 +32,9 @@
 	is.Equal(len(c.known), maxCachedParts)
 }
 
-// TestAReplicaThatWasSentNothingCostsLittle: a gateway of thousands of replicas kept room
-// for 512 parts for each of them, 16 KB.
-func TestAReplicaThatWasSentNothingCostsLittle(t *testing.T) {
+// TestUnusedReplicaTakesLittleMemory: a gateway with thousands of replicas allocated room for 512
+// parts, 16 KB, for each of them.
+func TestUnusedReplicaTakesLittleMemory(t *testing.T) {
 	const replicas, bytesEach = 1000, 4 << 10
 	is := is.New(t)
 	var before, after runtime.MemStats
--- a/src/exchange/quarantine_test.go
+++ b/src/exchange/quarantine_test.go
@@ -15,13 +15,14 @@
 	"github.com/moorspool/moorspool/src/quarantine"
 )
 
-const endingBody = "ends whatever runs it"
+const crashBody = "ends whatever runs it"
 
-// endsUnder makes a replica that ends when it runs endingBody and serves all else.
-func endsUnder(t *testing.T, id string, before func(a arrival)) *fakeReplica {
+// newCrashingReplica returns a replica that crashes when it runs crashBody and serves everything
+// else.
+func newCrashingReplica(t *testing.T, id string, before func(a arrival)) *fakeReplica {
 	var f *fakeReplica
 	f = newReplica(t, id, func(a arrival) bool {
-		if a.body != endingBody {
+		if a.body != crashBody {
 			return whole(a)
 		}
 		_ = f.listener.Close()
@@ -33,12 +34,12 @@
 
 func replicaNamed(i int) string { return fmt.Sprint("ended-", i) }
 
-func ended(replicas []*fakeReplica) int {
+func countCrashes(replicas []*fakeReplica) int {
 	count := 0
 	for _, f := range replicas {
 		f.mu.Lock()
 		for _, a := range f.arrivals {
-			if a.body == endingBody {
+			if a.body == crashBody {
 				count++
 			}
 		}
@@ -47,10 +48,10 @@
 	return count
 }
 
-// TestNoWayLeadsAQuarantinedContentToAReplica: a first try, tries within one call, a stream
-// that breaks before or within its events: after the third end no replica is reached, and the
-// client is told that nothing ran and when to come back.
-func TestNoWayLeadsAQuarantinedContentToAReplica(t *testing.T) {
+// TestQuarantinedContentReachesNoReplica: after the third crash no replica gets the content,
+// neither in a first attempt nor in a retry or the continuation of a stream. The client is told
+// that nothing ran and when to retry.
+func TestQuarantinedContentReachesNoReplica(t *testing.T) {
 	for _, way := range []struct {
 		name     string
 		kind     catalog.Kind
@@ -66,45 +67,46 @@
 			is := is.New(t)
 			var replicas []*fakeReplica
 			for i := range 8 {
-				replicas = append(replicas, endsUnder(t, fmt.Sprint("r", i), way.before))
+				replicas = append(replicas, newCrashingReplica(t, fmt.Sprint("r", i), way.before))
 			}
 			b := newBench(t, route(way.kind, way.attempts), replicas...)
-			var last got
+			var last clientResponse
 			for i := range 8 {
-				last = b.do("POST", fmt.Sprint("ending-", i), endingBody)
+				last = b.do("POST", fmt.Sprint("ending-", i), crashBody)
 			}
-			is.Equal(ended(replicas), quarantine.Threshold)
+			is.Equal(countCrashes(replicas), quarantine.Threshold)
 			is.Equal(last.status, http.StatusTooManyRequests)
 			wait, err := strconv.ParseFloat(last.header.Get("Retry-After"), 64)
 			is.NoErr(err)
-			is.True(wait > (30 * time.Minute).Seconds()) // too long to come back in its own time
+			is.True(wait > (30 * time.Minute).Seconds()) // longer than the client waits
 			is.Equal(b.do("POST", "other", "harmless").status, http.StatusOK)
 		})
 	}
 }
 
-// TestAStreamIsNotCarriedOnWhereItsReplicaEndedUnderIt: the copy of a run is at another
-// replica, which the content must not end as well once it is quarantined.
-func TestAStreamIsNotCarriedOnWhereItsReplicaEndedUnderIt(t *testing.T) {
+// TestQuarantinedStreamIsNotContinuedAtBackup: the replica with the copy of the run must not crash
+// as well once the content is quarantined.
+func TestQuarantinedStreamIsNotContinuedAtBackup(t *testing.T) {
 	is := is.New(t)
-	first := endsUnder(t, "first", func(a arrival) { a.head(); a.event(1) })
-	second := endsUnder(t, "second", func(a arrival) { a.head(); a.event(2) })
+	first := newCrashingReplica(t, "first", func(a arrival) { a.head(); a.event(1) })
+	second := newCrashingReplica(t, "second", func(a arrival) { a.head(); a.event(2) })
 	b := newBench(t, route(catalog.Streaming, 1), first)
 	document := catalog.Document{Version: 2, Routes: []catalog.Route{route(catalog.Streaming, 1)}, Services: []catalog.Service{{Name: "s", ColdRate: 4, Engine: &catalog.Engine{Backups: true}}}}
 	b.handler.SetTable(catalog.NewTable(document))
 	b.register(first, second)
-	content := quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte(endingBody)}.Digest()
+	content := quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte(crashBody)}.Digest()
 	now := time.Now()
 	b.handler.options.Guard.Ended(now, "earlier-1", []quarantine.Digest{content})
 	b.handler.options.Guard.Ended(now, "earlier-2", []quarantine.Digest{content})
-	result := b.do("POST", "stream", endingBody, testModel+": m", testTokens+": 500")
-	is.True(result.err != nil) // it breaks off and can't look complete
+	result := b.do("POST", "stream", crashBody, testModel+": m", testTokens+": 500")
+	is.True(result.err != nil) // the response is aborted
 	is.Equal(first.count()+second.count(), 1)
 }
 
-// TestACommonRequestIsNotBlamed: what came to a good end lately is under way on every replica
-// that ever ends; it is served on, however many end, also at a gateway that did not see it.
-func TestACommonRequestIsNotBlamed(t *testing.T) {
+// TestCommonContentIsNotQuarantined: content that recently ran without a crash is in flight at
+// every replica that crashes. It is still served, however many replicas crash, and also at a
+// gateway that did not see it run.
+func TestCommonContentIsNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, route(catalog.Safe, 2), newReplica(t, "a", whole))
 	other := newBench(t, route(catalog.Safe, 2), newReplica(t, "b", whole))
@@ -116,7 +118,7 @@
 		other.handler.noteCrash(now, replicaNamed(i), []quarantine.Digest{content}, "test")
 	}
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
-	is.Equal(other.do("GET", "three", "").status, http.StatusTooManyRequests) // it alone could not know
+	is.Equal(other.do("GET", "three", "").status, http.StatusTooManyRequests) // this gateway did not see the content run
 	told, _ := other.handler.options.Guard.OwnSince(now, 0)
 	b.handler.options.Guard.Take(now, told)
 	back, _ := b.handler.options.Guard.OwnSince(now, 0)
@@ -124,16 +126,17 @@
 	is.Equal(other.do("GET", "four", "").status, http.StatusOK)
 }
 
-// TestAnEndIsLoggedWithWhatWasUnderWay: the line names witness and contents and holds no body.
-func TestAnEndIsLoggedWithWhatWasUnderWay(t *testing.T) {
+// TestCrashIsLoggedWithRequestsInFlight: the line contains the evidence and the digests, but no
+// body.
+func TestCrashIsLoggedWithRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	f := endsUnder(t, "a", func(arrival) {})
+	f := newCrashingReplica(t, "a", func(arrival) {})
 	b := newBench(t, route(catalog.Unsafe, 1), f)
 	ring := event.NewRing("test", 64, nil, time.Now)
 	b.handler.options.Ring = ring
-	b.do("POST", "one", endingBody)
+	b.do("POST", "one", crashBody)
 	found, _ := ring.Since(0, "a")
-	content := quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte(endingBody)}.Digest()
+	content := quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte(crashBody)}.Digest()
 	ends := 0
 	for _, e := range found {
 		if e.Kind != event.ReplicaEnded {
@@ -142,7 +145,7 @@
 		ends++
 		is.Equal(e.Host, "a")
 		is.True(strings.Contains(e.Reason, "a dial was refused; under way: "+content.String()))
-		is.True(!strings.Contains(e.Reason, endingBody))
+		is.True(!strings.Contains(e.Reason, crashBody))
 	}
 	is.Equal(ends, 1)
 }
--- a/src/exchange/residency_test.go
+++ b/src/exchange/residency_test.go
@@ -13,28 +13,30 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// abroad is a replica in a zone of another region.
-func abroad(t *testing.T, id string, act behaviour) *fakeReplica {
+// newRemoteReplica returns a replica in a zone of another region.
+func newRemoteReplica(t *testing.T, id string, act behaviour) *fakeReplica {
 	f := newReplica(t, id, act)
 	f.zone = "far"
 	return f
 }
 
-// inRegions sets the regions of the tests' zones and lets a route's requests be served in some.
-func (b *bench) inRegions(r catalog.Route, regions ...string) {
+// setRegions sets the regions of the test zones and the regions in which a route's requests may be
+// served.
+func (b *bench) setRegions(r catalog.Route, regions ...string) {
 	b.fleet.SetRegions(map[string]string{"z": "here", "far": "there"})
 	r.Regions = regions
 	b.handler.SetTable(catalog.NewTable(catalog.Document{Version: 2, Routes: []catalog.Route{r}, Services: testServices()}))
 }
 
-// TestARequestIsServedInItsRegionsOnly: first and further tries, copies of runs and assigned places.
+// TestARequestIsServedInItsRegionsOnly: this applies to first attempts, retries, copies of runs and
+// assigned slots.
 func TestARequestIsServedInItsRegionsOnly(t *testing.T) {
 	is := is.New(t)
 	r := route(catalog.Safe, 3)
-	far := abroad(t, "x", whole)
+	far := newRemoteReplica(t, "x", whole)
 	near := newReplica(t, "y", func(a arrival) bool { a.answer(500, "broken"); return true })
 	b := newBench(t, r, far, near)
-	b.inRegions(r, "here")
+	b.setRegions(r, "here")
 	for i := range 5 {
 		is.Equal(b.do("POST", fmt.Sprint("try-", i), "x").status, 500)
 		is.Equal(b.do("POST", fmt.Sprint("model-", i), "x", testModel+": m").status, 500)
@@ -55,34 +57,34 @@
 	is.Equal(tried, []string{"x"})
 	is.Equal(far.count(), 0)
 	b.handler.options.Places = Places{}
-	b.inRegions(r, "there")
+	b.setRegions(r, "there")
 	is.Equal(b.do("POST", "abroad", "x").status, http.StatusOK)
 	is.Equal(far.count(), 1)
 }
 
-// TestARequestWithoutAReplicaInItsRegionsIsRefusedAtOnce, also where a zone's region is not known.
+// TestARequestWithoutAReplicaInItsRegionsIsRefusedAtOnce: this includes zones whose region is
+// unknown.
 func TestARequestWithoutAReplicaInItsRegionsIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := route(catalog.Safe, 3)
-	far := abroad(t, "x", whole)
+	far := newRemoteReplica(t, "x", whole)
 	b := newBench(t, r, far)
 	b.fleet.firstReplicaAt.Store(1)
-	b.inRegions(r, "here")
+	b.setRegions(r, "here")
 	is.Equal(b.do("POST", "one", "x").status, http.StatusServiceUnavailable)
 	here := catalog.ResidencyOf(&catalog.Route{Regions: []string{"here"}}, nil)
-	is.Equal(b.fleet.Pick(time.Now(), Requirements{Service: "s", Model: "m", Residency: here}, nil).Verdict, NoReplica) // no wait
-	b.inRegions(r, "there")
+	is.Equal(b.fleet.Pick(time.Now(), Requirements{Service: "s", Model: "m", Residency: here}, nil).Verdict, NoReplica) // no wait for a model
+	b.setRegions(r, "there")
 	b.fleet.SetRegions(nil)
 	is.Equal(b.do("POST", "two", "x").status, http.StatusServiceUnavailable)
 	is.Equal(far.count(), 0)
 }
 
-// TestTheRegionsOfAClientAccountBindBesideTheRoutes.
-func TestTheRegionsOfAClientAccountBindBesideTheRoutes(t *testing.T) {
+func TestRegionsOfRouteAndAccountBothApply(t *testing.T) {
 	is := is.New(t)
 	r := route(catalog.Safe, 1)
 	r.Regions = []string{"here", "there"}
-	far := abroad(t, "x", whole)
+	far := newRemoteReplica(t, "x", whole)
 	b := newKeyedBench(t, granting(), r, far)
 	b.fleet.SetRegions(map[string]string{"z": "here", "far": "there"})
 	set := func(regions ...string) {
--- a/src/exchange/intake_ways_test.go
+++ b/src/exchange/restriction_test.go
@@ -20,31 +20,30 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// backingOff is what a replica answers that wants nothing for longer than a test lasts.
+// backingOff responds with a backoff that is longer than any test.
 func backingOff(a arrival) bool {
 	a.answer(503, "not now", testNotRun+": 1", testBackoff+": 60000")
 	return true
 }
 
-// closing is how it comes that a replica takes no further requests.
-type closing struct {
-	// say answers one request.
-	say behaviour
-	// order is called with that answer; nil for a replica that closes by its own word.
+// restriction is a way in which a replica stops accepting requests.
+type restriction struct {
+	// respond responds to one request.
+	respond behaviour
+	// order is called with that response. It is nil if the response alone restricts the replica.
 	order func(b *bench, f *fakeReplica)
 }
 
-// closings are all of them.
-var closings = map[string]closing{
-	"wants nothing for a time": {say: backingOff},
-	"leaves":                   {say: func(a arrival) bool { a.answer(200, "last", testLeaving+": 1"); return true }},
-	"is in a drained zone":     {say: whole, order: drainZone},
-	"is cold, by its call":     {say: whole, order: registerCold},
-	"names a limit":            {say: func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }},
-	"is cold, by its answer":   {say: func(a arrival) bool { a.answer(200, "slow", testCold+": 60000"); return true }},
+var restrictions = map[string]restriction{
+	"wants nothing for a time": {respond: backingOff},
+	"leaves":                   {respond: func(a arrival) bool { a.answer(200, "last", testLeaving+": 1"); return true }},
+	"is in a drained zone":     {respond: whole, order: drainZone},
+	"is cold, by its call":     {respond: whole, order: registerCold},
+	"names a limit":            {respond: func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }},
+	"is cold, by its answer":   {respond: func(a arrival) bool { a.answer(200, "slow", testCold+": 60000"); return true }},
 }
 
-// registerCold lets a replica tell the control nodes that it is cold; nobody issues permits.
+// registerCold makes a replica report to the control nodes that it is cold. No permits are issued.
 func registerCold(b *bench, f *fakeReplica) {
 	f.coldMS = 60000
 	b.register(f)
@@ -57,10 +56,10 @@
 	b.fleet.SetDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{f.zone}})
 }
 
-// close lets a replica take nothing from the answer to a request of its own on.
-func (b *bench) close(f *fakeReplica, how closing) {
+// close makes a replica accept no requests after its response to one request.
+func (b *bench) close(f *fakeReplica, how restriction) {
 	b.t.Helper()
-	f.setAct(how.say)
+	f.setAct(how.respond)
 	b.do("POST", "closing", "x", testOnly+": "+f.id)
 	if f.count() != 1 {
 		b.t.Fatalf("%s got %d requests", f.id, f.count())
@@ -71,22 +70,22 @@
 	f.setAct(whole)
 }
 
-// TestEveryWayToAReplicaAsksWhetherItTakesRequests: no request reaches a replica that wants
-// nothing, or that leaves, on any way.
+// TestEveryWayToAReplicaAsksWhetherItTakesRequests: no request reaches a replica that is in
+// backoff, leaving, cold, limited or in a drained zone, on any code path.
 func TestEveryWayToAReplicaAsksWhetherItTakesRequests(t *testing.T) {
-	for name, how := range closings {
+	for name, how := range restrictions {
 		for _, way := range []struct {
 			name string
-			play func(t *testing.T, how closing) (closed *fakeReplica)
+			play func(t *testing.T, how restriction) (closed *fakeReplica)
 		}{
 			{"a first try", firstTries},
-			{"a further try within a call", furtherTry},
-			{"a stream that goes on at the copy of its run", goesOnAtCopy},
-			{"a place that was assigned", assignedPlace},
+			{"a further try within a call", retried},
+			{"a stream that goes on at the copy of its run", continuedAtBackup},
+			{"a place that was assigned", assignedToSlot},
 			{"a request that waited for its account", waitedForAccount},
 			{"a request whose connection was being opened", waitedForConnection},
-			{"the word came with a late answer to another request", lateWord},
-			{"the list of replicas was told anew", toldAnew},
+			{"the word came with a late answer to another request", lateResponse},
+			{"the list of replicas was told anew", relisted},
 			{"the configuration has changed", reconfigured},
 		} {
 			t.Run(way.name+", "+name, func(t *testing.T) {
@@ -98,7 +97,7 @@
 	}
 }
 
-func firstTries(t *testing.T, how closing) *fakeReplica {
+func firstTries(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), closed)
 	b.close(closed, how)
@@ -109,7 +108,7 @@
 	return closed
 }
 
-func furtherTry(t *testing.T, how closing) *fakeReplica {
+func retried(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	fails := newReplica(t, "y", func(a arrival) bool { a.answer(500, "broken"); return true })
 	b := newBench(t, route(catalog.Safe, 3), closed, fails)
@@ -120,8 +119,8 @@
 	return closed
 }
 
-// goesOnAtCopy: the replica that keeps the copy closes while the stream runs.
-func goesOnAtCopy(t *testing.T, how closing) *fakeReplica {
+// continuedAtBackup: the replica with the copy of the run is restricted while the stream runs.
+func continuedAtBackup(t *testing.T, how restriction) *fakeReplica {
 	s := newCrashSite(t, func(_ arrival, r *fakeReplica) bool {
 		_ = r.listener.Close()
 		return false
@@ -140,7 +139,7 @@
 	return closed
 }
 
-func assignedPlace(t *testing.T, how closing) *fakeReplica {
+func assignedToSlot(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	open := newReplica(t, "y", whole)
 	b := newPlacedBench(t, &fakePlaces{err: errors.New("nobody assigns yet")}, closed, open)
@@ -164,8 +163,8 @@
 	return closed
 }
 
-// waitedForAccount: the replica closes while the chosen request waits for its admission.
-func waitedForAccount(t *testing.T, how closing) *fakeReplica {
+// waitedForAccount: the replica is restricted while the chosen request waits for its admission.
+func waitedForAccount(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	f := granting()
 	b := newKeyedBench(t, f, route(catalog.Safe, 2), closed)
@@ -180,8 +179,9 @@
 	return closed
 }
 
-// waitedForConnection: the replica closes while the connection for another request comes up.
-func waitedForConnection(t *testing.T, how closing) *fakeReplica {
+// waitedForConnection: the replica is restricted while the connection for another request is being
+// established.
+func waitedForConnection(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), closed)
 	peer := b.fleet.Peer("x")
@@ -197,15 +197,16 @@
 	return closed
 }
 
-// lateWord: the word comes in the place of the next answer, as the answer to an earlier request.
-func lateWord(t *testing.T, how closing) *fakeReplica {
+// lateResponse: the restriction arrives in a late response to an earlier request, before the
+// response to the current one.
+func lateResponse(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Unsafe, 1), closed)
 	closed.setAct(func(a arrival) bool {
 		late := a
 		late.request = a.request.Clone(context.Background())
 		late.request.Header.Set(testID, "earlier")
-		how.say(late)
+		how.respond(late)
 		if how.order != nil {
 			how.order(b, closed)
 		}
@@ -218,9 +219,9 @@
 	return closed
 }
 
-// toldAnew: the replica is forgotten, as by a control node that was restarted, and heard of again
-// at another place of the list with a later call.
-func toldAnew(t *testing.T, how closing) *fakeReplica {
+// relisted: the replica is removed, as by a restarted control node, and listed again later at
+// another position.
+func relisted(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), closed)
 	b.close(closed, how)
@@ -231,7 +232,7 @@
 	return closed
 }
 
-func reconfigured(t *testing.T, how closing) *fakeReplica {
+func reconfigured(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), closed)
 	b.close(closed, how)
@@ -241,14 +242,14 @@
 	return closed
 }
 
-// TestARefusalForWantOfReplicasThatTakeRequestsTellsWhen: nothing has run, and the client is told
-// the earliest end.
-func TestARefusalForWantOfReplicasThatTakeRequestsTellsWhen(t *testing.T) {
+// TestRefusalNamesEarliestBackoffEnd: nothing has run, and Retry-After names the earliest end of a
+// backoff.
+func TestRefusalNamesEarliestBackoffEnd(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", whole), newReplica(t, "y", whole)
 	b := newBench(t, route(catalog.Unsafe, 1), x, y)
-	b.close(x, closing{say: backingOff})
-	b.close(y, closing{say: func(a arrival) bool {
+	b.close(x, restriction{respond: backingOff})
+	b.close(y, restriction{respond: func(a arrival) bool {
 		a.answer(503, "not now", testNotRun+": 1", testBackoff+": 30000")
 		return true
 	}})
@@ -259,16 +260,16 @@
 	is.True(wait > 25 && wait < 40)
 }
 
-// startAgain tells the gateway of a later start of a replica under its name at its address.
-func (b *bench) startAgain(f *fakeReplica) {
+// restart makes the gateway list a later incarnation of a replica with the same name and address.
+func (b *bench) restart(f *fakeReplica) {
 	earlier := registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: "z", Slots: 4}
 	later := earlier
 	later.ID, later.Name, later.Born = f.id+"@2", f.id, 2
 	b.fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: later}, {Record: earlier, Replaced: true}}})
 }
 
-// end lets a replica end under a request: its connections break.
-func (b *bench) end(f *fakeReplica) {
+// crash makes a replica break its connections during a request.
+func (b *bench) crash(f *fakeReplica) {
 	f.setAct(func(arrival) bool { return false })
 	b.do("POST", "ends", "x", testOnly+": "+f.id)
 	f.mu.Lock()
@@ -277,57 +278,54 @@
 	f.act = whole
 }
 
-// TestAWordSaidBeforeItsStartIsToldBinds
-//
-// A replica ended and started again at its address; in its first half second, before a control node
-// had told of the start, it asked for 1.4 s without requests. The gateway kept that for the start
-// that had ended, was told of the new one, and sent it 104 requests within the time. Evidence: the
-// line of the word names the start whose connections had broken 1.4 s before.
-func TestAWordSaidBeforeItsStartIsToldBinds(t *testing.T) {
+// TestBackoffBeforeIncarnationIsListedIsInherited: a restarted replica asked for a backoff of 1.4 s
+// in its first half second, before a control node had listed the new incarnation. The gateway
+// recorded the backoff for the old incarnation and sent 104 requests to the new one during the
+// backoff.
+func TestBackoffBeforeIncarnationIsListedIsInherited(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 1), x)
 	is.Equal(b.do("POST", "before", "x").status, http.StatusOK)
-	b.end(x)
-	b.close(x, closing{say: backingOff})
-	b.startAgain(x)
+	b.crash(x)
+	b.close(x, restriction{respond: backingOff})
+	b.restart(x)
 	is.Equal(b.do("POST", "after", "x").status, http.StatusServiceUnavailable)
 	is.Equal(x.count(), 1)
 }
 
-// TestAWordOnAConnectionThatStandsIsTheLaterStarts: this gateway saw no end of the earlier start, with
-// which it had no connection; the one on which the word came would have broken with its end.
-func TestAWordOnAConnectionThatStandsIsTheLaterStarts(t *testing.T) {
+// TestBackoffOnOpenConnectionIsInherited: this gateway had no connection with the earlier
+// incarnation and did not notice its end. The connection on which the backoff arrived is still
+// open, so the backoff is that of the later incarnation.
+func TestBackoffOnOpenConnectionIsInherited(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 1), x)
-	b.close(x, closing{say: backingOff})
-	b.startAgain(x)
+	b.close(x, restriction{respond: backingOff})
+	b.restart(x)
 	is.Equal(b.do("POST", "after", "x").status, http.StatusServiceUnavailable)
 	is.Equal(x.count(), 1)
 }
 
-// TestAWordSaidBeforeTheEndBindsNoLaterStart: the connections of the start that said it broke.
-func TestAWordSaidBeforeTheEndBindsNoLaterStart(t *testing.T) {
+// TestBackoffBeforeCrashIsNotInherited: the connections of the incarnation that asked for the
+// backoff are broken.
+func TestBackoffBeforeCrashIsNotInherited(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 1), x)
-	b.end(x)
-	b.close(x, closing{say: backingOff})
+	b.crash(x)
+	b.close(x, restriction{respond: backingOff})
 	idle := x.last().conn
 	_ = idle.Close()
 	is.Equal(b.do("POST", "refused", "x").status, http.StatusServiceUnavailable)
-	b.startAgain(x)
+	b.restart(x)
 	is.Equal(b.do("POST", "after", "x").status, http.StatusOK)
 }
 
-// TestAWordToAClientThatHasLeftBinds
-//
-// A client left while its request was on the way. The replica turned it away and asked for 2 s
-// without requests, in an answer that came when the gateway had closed the connection; what
-// followed within the time was turned away without a word, 66 requests. Evidence: the gateway has
-// a line of the client's leaving after 0 ms, and none of the word.
-func TestAWordToAClientThatHasLeftBinds(t *testing.T) {
+// TestBackoffAfterClientLeftIsKept: a client left while its request was being sent. The replica
+// rejected the request with a backoff of 2 s, but the gateway had already closed the connection and
+// sent 66 more requests during the backoff.
+func TestBackoffAfterClientLeftIsKept(t *testing.T) {
 	is := is.New(t)
 	arrived := make(chan struct{})
 	x := newReplica(t, "x", func(a arrival) bool {
--- a/src/exchange/retention_test.go
+++ b/src/exchange/retention_test.go
@@ -16,9 +16,9 @@
 	"github.com/moorspool/moorspool/src/catalog"
 )
 
-// retainedMost watches what a gateway keeps until the returned function is called, which returns the
-// most that it kept.
-func (b *bench) retainedMost() func() int64 {
+// watchRetained samples the retained bytes of a gateway until the returned function is called,
+// which returns the maximum.
+func (b *bench) watchRetained() func() int64 {
 	stop, most := make(chan struct{}), make(chan int64)
 	go func() {
 		largest := int64(0)
@@ -38,8 +38,9 @@
 	}
 }
 
-// TestSlowClientsKeepABoundedPartOfAGateway: sixteen clients ask for answers of 160 KB and read them
-// slowly; all are whole, the gateway keeps no more than it may, and others are served meanwhile.
+// TestSlowClientsKeepABoundedPartOfAGateway: sixteen clients request responses of 160 KB and read
+// them slowly. All responses are complete, the retained bytes stay within the limit, and other
+// requests are served meanwhile.
 func TestSlowClientsKeepABoundedPartOfAGateway(t *testing.T) {
 	const (
 		clients = 16
@@ -59,7 +60,7 @@
 	r.Timeout = 20 * time.Second
 	b := newBench(t, r, x)
 	b.handler.retention.limit = limit
-	most := b.retainedMost()
+	most := b.watchRetained()
 	var slow sync.WaitGroup
 	for i := range clients {
 		slow.Go(func() {
@@ -79,7 +80,7 @@
 	is.Equal(b.handler.retention.used.Load(), int64(0))
 }
 
-// readSlowly asks for the long answer and reads it in small pieces.
+// readSlowly requests the long response and reads it slowly.
 func readSlowly(address, id string) (string, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -101,8 +102,7 @@
 	return string(body), err
 }
 
-// TestABodyForWhichThereIsNoRoomIsRefusedAsNotRun.
-func TestABodyForWhichThereIsNoRoomIsRefusedAsNotRun(t *testing.T) {
+func TestBodyBeyondRetentionLimitIsRefusedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Unsafe, 1), x)
--- a/src/exchange/sharedlimit.go
+++ b/src/exchange/sharedlimit.go
@@ -37,7 +37,7 @@
 
 // sentRequest describes the request to which a response belongs.
 type sentRequest struct {
-	// sentAt is when the request was sent; term and permit identify its permit and are 0 if it had
+	// sentAt is when the request was sent; term and grant identify its permit and are 0 if it had
 	// none.
 	sentAt      time.Time
 	term, grant uint64
--- a/src/exchange/limited_test.go
+++ b/src/exchange/sharedlimit_test.go
@@ -21,8 +21,9 @@
 	return ratelimit.State{Limited: true, PerSecond: perSecond}
 }
 
-// TestWhatAnAnswerSaysOfALimit: a lower one holds at once, a higher one or none when an issuer says so.
-func TestWhatAnAnswerSaysOfALimit(t *testing.T) {
+// TestLimitInResponse: a lower limit takes effect at once. A higher one, or none, takes effect only
+// once the issuer confirms it.
+func TestLimitInResponse(t *testing.T) {
 	now := noon
 	named := func(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
 	run := sentRequest{sentAt: now.Add(time.Second), term: 3, grant: 9, succeeded: true}
@@ -59,26 +60,28 @@
 	}
 }
 
-// TestWhatAnIssuerSaysOfALimit: the newest version holds, unless an answer has named a lower one since.
-func TestWhatAnIssuerSaysOfALimit(t *testing.T) {
+// TestLimitFromIssuer: the newest version takes effect unless a response has named a lower limit
+// since.
+func TestLimitFromIssuer(t *testing.T) {
 	is := is.New(t)
 	var sharedLimit sharedLimit
 	is.True(sharedLimit.applyIssued(noon, limitOf(5), 3, 4, nil))
 	is.True(!sharedLimit.applyIssued(noon, ratelimit.State{}, 3, 3, nil)) // older
-	is.True(!sharedLimit.applyIssued(noon, ratelimit.State{}, 2, 9, nil)) // of an earlier leader
-	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 0, 0, nil))        // without an issuer only a lower one
+	is.True(!sharedLimit.applyIssued(noon, ratelimit.State{}, 2, 9, nil)) // from an earlier leader
+	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 0, 0, nil))        // without an issuer only a lower limit applies
 	is.True(sharedLimit.applyIssued(noon, limitOf(4), 0, 0, nil))
 	is.True(sharedLimit.applyIssued(noon, limitOf(8), 3, 5, nil))
 	is.True(sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{}))
-	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 3, 6, nil)) // the issuer does not know of 2 yet
+	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 3, 6, nil)) // the issuer does not know the limit of 2 yet
 	told := sharedLimit.report()
 	is.True(!sharedLimit.applyIssued(noon, limitOf(2), 3, 7, told.heard))
 	is.True(sharedLimit.applyIssued(noon, ratelimit.State{}, 3, 8, nil))
 	is.True(!sharedLimit.active.Load())
 }
 
-// TestAStandInClearsNothing: what an answer said is told to an issuer once there is one.
-func TestAStandInClearsNothing(t *testing.T) {
+// TestLimitWithoutIssuerIsReportedLater: the statement of a response is reported once there is an
+// issuer.
+func TestLimitWithoutIssuerIsReportedLater(t *testing.T) {
 	is := is.New(t)
 	var sharedLimit sharedLimit
 	sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{})
@@ -87,7 +90,7 @@
 	is.True(sharedLimit.report().word.Heard)
 }
 
-// limitedBench has one replica that names a limit, and an issuer whose answers are counted.
+// limitedBench has one replica that names a limit, and a permit issuer.
 func limitedBench(t *testing.T, limit string, others ...*fakeReplica) (*bench, *fakeReplica, *ratelimit.Issuer) {
 	x := newReplica(t, "x", func(a arrival) bool { a.answer(200, "slow", testLimit+": "+limit); return true })
 	r := route(catalog.Safe, 2)
@@ -105,9 +108,9 @@
 	return b, x, issuer
 }
 
-// TestALimitedReplicaGetsWhatItNames, of many requests at once; the others are refused with the time
-// and the reason, and an unlimited one serves all.
-func TestALimitedReplicaGetsWhatItNames(t *testing.T) {
+// TestLimitedReplicaGetsRequestsAtItsLimit: of many simultaneous requests the others are refused
+// with Retry-After and the reason. A second, unlimited replica serves all of them.
+func TestLimitedReplicaGetsRequestsAtItsLimit(t *testing.T) {
 	is := is.New(t)
 	b, x, _ := limitedBench(t, "0.5")
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
@@ -127,7 +130,7 @@
 		}()
 	}
 	work.Wait()
-	is.True(x.count() <= 4) // the first one, and those permits that came within half a second
+	is.True(x.count() <= 4) // the first one, and those with permits within half a second
 	y := newReplica(t, "y", whole)
 	b, x, _ = limitedBench(t, "0.5", y)
 	for i := range 40 {
@@ -136,8 +139,9 @@
 	is.True(x.count() <= 4)
 }
 
-// TestALimitThatEndsHoldsNothingBack: an answer to a request with a permit names none.
-func TestALimitThatEndsHoldsNothingBack(t *testing.T) {
+// TestLiftedLimitAdmitsAllRequests: the response to a request with a permit names no limit any
+// more.
+func TestLiftedLimitAdmitsAllRequests(t *testing.T) {
 	is := is.New(t)
 	b, x, issuer := limitedBench(t, "0")
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
@@ -156,8 +160,9 @@
 	is.Equal(told, []ratelimit.Told{{Server: "x"}})
 }
 
-// TestALaterStartIsNotLimited by what the one before it named, whose connections broke.
-func TestALaterStartIsNotLimited(t *testing.T) {
+// TestLimitBeforeCrashIsNotInherited: the connections of the incarnation that named the limit are
+// broken.
+func TestLimitBeforeCrashIsNotInherited(t *testing.T) {
 	is := is.New(t)
 	b, x, _ := limitedBench(t, "0")
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
@@ -168,18 +173,19 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	x.setAct(whole)
-	b.startAgain(x)
+	b.restart(x)
 	is.True(!b.fleet.Peer("x@2").sharedLimit.active.Load())
 	is.Equal(b.do("POST", "later", "x").status, http.StatusOK)
 }
 
-// TestALimitNamedBeforeItsStartIsToldBinds: the start before it had ended, by its connections.
-func TestALimitNamedBeforeItsStartIsToldBinds(t *testing.T) {
+// TestLimitBeforeIncarnationIsListedIsInherited: the earlier incarnation had ended, as its broken
+// connections show.
+func TestLimitBeforeIncarnationIsListedIsInherited(t *testing.T) {
 	is := is.New(t)
 	b, x, _ := limitedBench(t, "0")
-	b.end(x)
+	b.crash(x)
 	x.setAct(func(a arrival) bool { a.answer(200, "slow", testLimit+": 0"); return true })
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
-	b.startAgain(x)
+	b.restart(x)
 	is.True(b.fleet.Peer("x@2").sharedLimit.active.Load())
 }
--- a/src/exchange/place_test.go
+++ b/src/exchange/slot_test.go
@@ -15,7 +15,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// fakePlaces assigns what a test says.
+// fakePlaces returns the reply set by a test and records the calls.
 type fakePlaces struct {
 	reply    wire.PlaceReply
 	err      error
@@ -23,7 +23,7 @@
 	released chan wire.PlaceRelease
 }
 
-// newPlacedBench has fewer places than gateways.
+// newPlacedBench has fewer slots than gateways.
 func newPlacedBench(t *testing.T, f *fakePlaces, replicas ...*fakeReplica) *bench {
 	f.asked, f.released = make(chan wire.PlaceRequest, 8), make(chan wire.PlaceRelease, 8)
 	b := newBench(t, route(catalog.Safe, 2), replicas...)
@@ -38,7 +38,7 @@
 	return b
 }
 
-func TestARequestGoesWhereItsPlaceIs(t *testing.T) {
+func TestRequestIsSentToAssignedReplica(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", whole), newReplica(t, "y", whole)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
@@ -54,8 +54,8 @@
 	is.True((<-f.asked).WithinMS > 0)
 }
 
-// TestWhatALimitedReplicaTakesIsUsedBesidePlaces: places are assigned at the others only.
-func TestWhatALimitedReplicaTakesIsUsedBesidePlaces(t *testing.T) {
+// TestLimitedReplicaIsUsedBesideAssignedSlots: slots are only assigned at replicas without a limit.
+func TestLimitedReplicaIsUsedBesideAssignedSlots(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }), newReplica(t, "y", whole)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
@@ -76,7 +76,7 @@
 	is.Equal(y.count(), 4)
 }
 
-func TestARequestWithoutAPlaceIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutSlotIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newPlacedBench(t, &fakePlaces{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
@@ -86,8 +86,8 @@
 	is.Equal(x.count(), 0)
 }
 
-// TestAGatewayChoosesByItselfWhereNobodyAssigns, and does not ask again for a while.
-func TestAGatewayChoosesByItselfWhereNobodyAssigns(t *testing.T) {
+// TestGatewayChoosesReplicaWithoutAssigner: it does not request a slot again for a while.
+func TestGatewayChoosesReplicaWithoutAssigner(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	f := &fakePlaces{err: errors.New("cut off")}
@@ -97,9 +97,8 @@
 	is.Equal(len(f.asked), 1)
 }
 
-// TestPlacesAreNotAskedForWhereOwnCountsSayEnough: with few gateways each sees much of the
-// load.
-func TestPlacesAreNotAskedForWhereOwnCountsSayEnough(t *testing.T) {
+// TestFewGatewaysRequestNoSlots: with few gateways each of them sees much of the load.
+func TestFewGatewaysRequestNoSlots(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	f := &fakePlaces{}
@@ -109,8 +108,8 @@
 	is.Equal(len(f.asked), 0)
 }
 
-// TestAnotherPlaceIsAskedForAfterARefusal by the replica, without the one that was tried.
-func TestAnotherPlaceIsAskedForAfterARefusal(t *testing.T) {
+// TestAnotherSlotIsRequestedAfterRejection: the replica that rejected the request is excluded.
+func TestAnotherSlotIsRequestedAfterRejection(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", notRunning)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "x", Ticket: 1}}
@@ -121,9 +120,9 @@
 	is.Equal((<-f.released).Outcome, string(dispatch.Full))
 }
 
-// TestAPromptThatWouldBeFarTooLateIsRefusedAtOnce, with the time after which the replica has read
-// what it was sent before.
-func TestAPromptThatWouldBeFarTooLateIsRefusedAtOnce(t *testing.T) {
+// TestPromptBehindLongBacklogIsRefusedAtOnce: Retry-After is the time that the replica needs for
+// its backlog.
+func TestPromptBehindLongBacklogIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), x)
--- a/src/exchange/speed_test.go
+++ b/src/exchange/speed_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestReadingSpeedsAreLearnedThroughQueues: most prompts wait behind others, and the
-// estimate still comes near the replica's own speed, for models of any speed.
-func TestReadingSpeedsAreLearnedThroughQueues(t *testing.T) {
+// TestPrefillSpeedIsEstimatedDespiteQueueing: most prompts are queued behind others, and the
+// estimate still approaches the replica's own speed.
+func TestPrefillSpeedIsEstimatedDespiteQueueing(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, perToken := range []time.Duration{time.Millisecond / 300, time.Millisecond / 40, time.Millisecond / 10} {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestAnUnknownModelIsTakenForASlowOne(t *testing.T) {
+func TestUnknownModelGetsInitialSpeed(t *testing.T) {
 	is := is.New(t)
 	s := newPrefillSpeeds()
 	is.Equal(s.prefillTime("m", 1800), time.Duration(initialPerToken)*1800)
--- a/src/exchange/start_test.go
+++ b/src/exchange/start_test.go
@@ -13,7 +13,7 @@
 	"github.com/moorspool/moorspool/src/registry"
 )
 
-// newStartingBench returns a bench whose gateway knows neither configuration nor replicas.
+// newStartingBench returns a bench whose gateway has no configuration and no replicas yet.
 func newStartingBench(t *testing.T, now func() time.Time) *bench {
 	b := &bench{t: t, demand: NewDemand(), fleet: NewFleet("z", Dial, nil, now, now)}
 	b.handler = NewHandler(Options{
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	a := newReplica(t, "a", whole)
 	b := newStartingBench(t, time.Now)
-	answers := make(chan got, 1)
+	answers := make(chan clientResponse, 1)
 	go func() { answers <- b.do("POST", "one", "x") }()
 	for b.handler.Running() == 0 {
 		time.Sleep(time.Millisecond)
@@ -52,16 +52,16 @@
 	is.True(got.header.Get("Retry-After") != "")
 }
 
-// TestReplicasThatAreStillBeingLearnedOfAreWaitedFor: the first replica known is of
-// another service; the one that serves follows.
-func TestReplicasThatAreStillBeingLearnedOfAreWaitedFor(t *testing.T) {
+// TestRequestWaitsWhileReplicasAreDiscovered: the replica of the requested service is listed only
+// after the request has arrived.
+func TestRequestWaitsWhileReplicasAreDiscovered(t *testing.T) {
 	is := is.New(t)
 	a := newReplica(t, "a", whole)
 	b := newStartingBench(t, time.Now)
 	r := route(catalog.Unsafe, 1)
-	r.Target = time.Minute // however busy the machine is, the replica comes in time
+	r.Target = time.Minute // the replica is listed in time even on a slow machine
 	b.configure(r)
-	answers := make(chan got, 1)
+	answers := make(chan clientResponse, 1)
 	go func() { answers <- b.do("POST", "one", "x") }()
 	for b.handler.Running() == 0 {
 		time.Sleep(time.Millisecond)
@@ -70,8 +70,9 @@
 	is.Equal((<-answers).status, http.StatusOK)
 }
 
-// TestAGatewayThatKnowsItsReplicasRefusesAtOnce: waiting is for a young list only.
-func TestAGatewayThatKnowsItsReplicasRefusesAtOnce(t *testing.T) {
+// TestNoDiscoveryWaitOnceReplicasAreKnown: requests wait for replicas only while the gateway is
+// discovering them.
+func TestNoDiscoveryWaitOnceReplicasAreKnown(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
 	f := NewFleet("z", Dial, nil, func() time.Time { return began }, time.Now)
