--- a/src/exchange/backoff.go
+++ b/src/exchange/backoff.go
@@ -70,7 +70,7 @@
 	if !i.restricted.Load() {
 		return true
 	}
-	if _, taken := i.check(now); !taken {
+	if _, accepted := i.check(now); !accepted {
 		return false
 	}
 	if i.trials == 0 {
@@ -105,8 +105,8 @@
 	defer i.mu.Unlock()
 	began := !now.Before(i.until)
 	wait = min(wait, maxBackoff)
-	spread := time.Duration(draw * float64(min(wait/jitterDivisor, maxBackoffJitter)))
-	if until := now.Add(wait + spread); until.After(i.until) {
+	jitter := time.Duration(draw * float64(min(wait/jitterDivisor, maxBackoffJitter)))
+	if until := now.Add(wait + jitter); until.After(i.until) {
 		i.until = until
 	}
 	i.trials = 0
--- a/src/exchange/backoff_sim_test.go
+++ b/src/exchange/backoff_sim_test.go
@@ -271,7 +271,7 @@
 			off += float64(s.rejected) / float64(s.sent) / simSeeds
 		}
 		sum += total
-		t.Logf("%-34s wants nothing for %-5s load %.1f worth %.3f urgent %.3f late %.3f turned away %.3f", way.name, cell.backoff, cell.load, total, urgent, late, off)
+		t.Logf("%-34s backoff %-5s load %.1f worth %.3f urgent %.3f late %.3f rejected %.3f", way.name, cell.backoff, cell.load, total, urgent, late, off)
 	}
 	mean := sum / float64(len(cells))
 	t.Logf("%-34s mean worth %.3f", way.name, mean)
--- a/src/exchange/backoff_test.go
+++ b/src/exchange/backoff_test.go
@@ -254,8 +254,8 @@
 		for range 400 {
 			w.step()
 		}
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
 	})
 }
@@ -266,7 +266,7 @@
 	now          time.Time
 	fleets       []*Fleet
 	incarnations []*backoffIncarnation
-	broken       string
+	violation    string
 }
 
 // backoffIncarnation is one incarnation of a replica, with its times by gateway.
@@ -334,7 +334,7 @@
 	for _, s := range w.incarnations {
 		peer := f.Peer(s.entry.Record.ID)
 		if !s.leaving && s.until[g].IsZero() && !f.acceptsWithoutPermit(peer) {
-			w.broken = s.entry.Record.ID + " asked for nothing and is kept from requests"
+			w.violation = s.entry.Record.ID + " has no backoff but does not accept requests"
 		}
 	}
 }
@@ -356,11 +356,11 @@
 		return
 	}
 	if announcedAt := start.announcedAt[g]; !announcedAt.IsZero() {
-		w.broken = start.entry.Record.ID + " got a request after it had said that it leaves"
+		w.violation = start.entry.Record.ID + " got a request after it announced that it is leaving"
 	}
 	if w.now.Before(start.until[g]) && w.now.Sub(start.askedAt[g]) > 500*time.Millisecond {
 		if start.sentWithin[g]++; start.sentWithin[g] > 2 {
-			w.broken = start.entry.Record.ID + " got too many requests in its time"
+			w.violation = start.entry.Record.ID + " got too many requests during its backoff"
 		}
 	}
 	reply := Reply{Leaving: start.leaving}
--- a/src/exchange/backup.go
+++ b/src/exchange/backup.go
@@ -84,7 +84,7 @@
 		return Choice{}, false
 	}
 	fleet := c.handler.options.Fleet
-	if _, taken := fleet.acceptsIn(backup); !taken || !c.permitted(ctx, backup, 0) {
+	if _, accepted := fleet.acceptsIn(backup); !accepted || !c.permitted(ctx, backup, 0) {
 		c.reason += "; " + backup.ID() + " keeps a copy of the run and takes no requests now"
 		return Choice{}, false
 	}
--- a/src/exchange/conn.go
+++ b/src/exchange/conn.go
@@ -69,7 +69,7 @@
 
 // get returns an idle connection that is still open, or a new one that is established within the
 // given time. If it returns an error, no byte was sent.
-func (p *pool) get(ctx context.Context, within time.Duration, now time.Time) (*conn, error) {
+func (p *pool) get(ctx context.Context, timeout time.Duration, now time.Time) (*conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
@@ -85,7 +85,7 @@
 		}
 		_ = c.raw.Close()
 	}
-	raw, err := p.connect(ctx, within)
+	raw, err := p.connect(ctx, timeout)
 	if err != nil {
 		p.connectionBroke()
 		return nil, errors.Wrap(err, "connecting")
@@ -97,14 +97,14 @@
 }
 
 // connect dials until a connection is established, one is refused, or the time is over.
-func (p *pool) connect(ctx context.Context, within time.Duration) (net.Conn, error) {
+func (p *pool) connect(ctx context.Context, timeout time.Duration) (net.Conn, error) {
 	for {
-		attempt, cancel := context.WithTimeout(ctx, min(within, dialAttempt))
+		attempt, cancel := context.WithTimeout(ctx, min(timeout, dialAttempt))
 		raw, err := p.dial(attempt, p.address)
 		timedOut := attempt.Err() != nil
 		cancel()
-		within -= dialAttempt
-		if err == nil || !timedOut || within <= 0 || ctx.Err() != nil {
+		timeout -= dialAttempt
+		if err == nil || !timedOut || timeout <= 0 || ctx.Err() != nil {
 			return raw, err
 		}
 	}
--- a/src/exchange/crash.go
+++ b/src/exchange/crash.go
@@ -48,7 +48,7 @@
 
 // crashFunc is called when a replica has crashed with requests in flight. It is called again for
 // the same crash when further connections are found broken.
-type crashFunc func(now time.Time, replica string, under []quarantine.Digest, witness string)
+type crashFunc func(now time.Time, replica string, inFlight []quarantine.Digest, evidence string)
 
 // crashDetector finds out which replicas crashed and which requests were in flight there. A broken
 // connection alone is no proof, since replicas reset connections, links fail and streams are
--- a/src/exchange/crash_test.go
+++ b/src/exchange/crash_test.go
@@ -141,7 +141,7 @@
 			})
 			b := newBench(t, route(way.kind, 1), f)
 			told := make(chan []quarantine.Digest, 4)
-			b.handler.crashDetector.onCrash = func(_ time.Time, _ string, under []quarantine.Digest, _ string) { told <- under }
+			b.handler.crashDetector.onCrash = func(_ time.Time, _ string, inFlight []quarantine.Digest, _ string) { told <- inFlight }
 			b.do("POST", "one", "body")
 			is.Equal(<-told, []quarantine.Digest{quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte("body")}.Digest()})
 		})
@@ -162,7 +162,7 @@
 		return dialTimedOut
 	}
 	told := make(chan []quarantine.Digest, 4)
-	b.handler.crashDetector.onCrash = func(_ time.Time, _ string, under []quarantine.Digest, _ string) { told <- under }
+	b.handler.crashDetector.onCrash = func(_ time.Time, _ string, inFlight []quarantine.Digest, _ string) { told <- inFlight }
 	is.Equal(b.do("POST", "one", "body", testDeadline+": 60").status, 504)
 	<-looked
 	record := registry.Record{ID: "a", Service: "s", Address: f.listener.Addr().String(), Zone: "z"}
--- a/src/exchange/explain_test.go
+++ b/src/exchange/explain_test.go
@@ -26,8 +26,8 @@
 	return l.text.Write(p)
 }
 
-// about returns the lines that contain a word.
-func (l *logText) about(word string) string {
+// linesWith returns the lines that contain a word.
+func (l *logText) linesWith(word string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
@@ -50,17 +50,17 @@
 	return text
 }
 
-// explained waits for the log line with the request's result, which is written after the response
-// to the client.
-func explained(t *testing.T, text *logText, request string) string {
+// awaitResultLine waits for the log line with the request's result, which is written after the
+// response to the client.
+func awaitResultLine(t *testing.T, text *logText, request string) string {
 	t.Helper()
 	for range 1000 {
-		if lines := text.about("request=" + request); strings.Contains(lines, "status") {
+		if lines := text.linesWith("request=" + request); strings.Contains(lines, "status") {
 			return lines
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("no line tells of request %s", request)
+	t.Fatalf("no log line with the result of request %s", request)
 	return ""
 }
 
@@ -72,7 +72,7 @@
 		b := newBench(t, route(catalog.Unsafe, 1), newReplica(t, "a", whole))
 		text := b.logged()
 		is.Equal(b.do("POST", "q1", "x", testModel+": rare", testDeadline+": 50").status, 503)
-		lines := explained(t, text, "q1")
+		lines := awaitResultLine(t, text, "q1")
 		is.True(strings.Contains(lines, "event=702"))
 		is.True(strings.Contains(lines, "status 503"))
 		is.True(strings.Contains(lines, "sent to 0"))
@@ -85,7 +85,7 @@
 		b := newBench(t, route(catalog.Streaming, 1), newReplica(t, "a", breaking(2)))
 		text := b.logged()
 		is.True(b.do("POST", "q2", "x").err != nil)
-		lines := explained(t, text, "q2")
+		lines := awaitResultLine(t, text, "q2")
 		is.True(strings.Contains(lines, "event=702"))
 		is.True(strings.Contains(lines, "status 0"))
 		is.True(strings.Contains(lines, "may have run at 1"))
@@ -101,7 +101,7 @@
 		text := b.logged()
 		b.fleet.peers["a"].updateLoad(time.Now(), Load{Known: true, Running: 9, Waiting: 3, Slots: 4})
 		is.Equal(b.do("POST", "q3", "x").status, 200)
-		lines := explained(t, text, "q3")
+		lines := awaitResultLine(t, text, "q3")
 		is.True(strings.Contains(lines, "event=704"))
 		is.True(strings.Contains(lines, "host=a"))
 		is.True(strings.Contains(lines, "of 1 candidates"))
--- a/src/exchange/fleet.go
+++ b/src/exchange/fleet.go
@@ -50,7 +50,7 @@
 	byBacklogKey  map[uint64]*Peer
 	prefillSpeeds *prefillSpeeds
 	// onCrash is called when the control nodes report that a replica has ended.
-	onCrash func(now time.Time, replica string, witness string)
+	onCrash func(now time.Time, replica string, evidence string)
 	// requestSent is raised when this gateway has sent a request that the other gateways should
 	// know of.
 	requestSent wakeup.Flag
@@ -109,7 +109,7 @@
 
 // setCrashHandler sets the function that is called when a replica has ended. It is called before
 // the first replicas are set.
-func (f *Fleet) setCrashHandler(onCrash func(now time.Time, replica string, witness string)) {
+func (f *Fleet) setCrashHandler(onCrash func(now time.Time, replica string, evidence string)) {
 	f.onCrash = onCrash
 }
 
--- a/src/exchange/fleet_test.go
+++ b/src/exchange/fleet_test.go
@@ -25,8 +25,8 @@
 	return f
 }
 
-// picks counts how often each replica is chosen in 50 choices.
-func picks(f *Fleet, now time.Time, want Requirements) map[string]int {
+// countPicks counts how often each replica is chosen in 50 choices.
+func countPicks(f *Fleet, now time.Time, want Requirements) map[string]int {
 	chosen := map[string]int{}
 	for range 50 {
 		if c := f.Pick(now, want, nil); c.Peer != nil {
@@ -49,7 +49,7 @@
 			is := is.New(t)
 			f := newTestFleet("a", "b")
 			sign(f.peers["a"])
-			is.Equal(picks(f, noon.Add(100*time.Millisecond), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500}), map[string]int{"b": 50})
+			is.Equal(countPicks(f, noon.Add(100*time.Millisecond), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500}), map[string]int{"b": 50})
 		})
 	}
 }
@@ -60,7 +60,7 @@
 	p := f.peers["a"]
 	p.updateLoad(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64})
 	p.noteMissingCopy(noon, "m", "a1")
-	chosen := picks(f, noon.Add(10*time.Second), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500})
+	chosen := countPicks(f, noon.Add(10*time.Second), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500})
 	is.True(chosen["a"] > 0)
 }
 
@@ -69,7 +69,7 @@
 	f := newTestFleet("a", "b")
 	parts := []Part{{ID: "p", Tokens: 400}, {ID: "q", Tokens: 200}}
 	f.Sent(noon, f.peers["b"], "m", parts, 0)
-	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}), map[string]int{"b": 50})
 	choice := f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}, nil)
 	is.Equal(choice.PrefillTokens, 400) // the part that is not cached
 	// A part counts as cached only if all parts before it are cached.
@@ -83,8 +83,8 @@
 		{Replica: "a", Model: "m", Leaving: true},
 		{Replica: "b", Model: "m", Adapter: "a2"},
 	}})
-	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m"}), map[string]int{"b": 50})
-	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a2"}), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m"}), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a2"}), map[string]int{"b": 50})
 	is.Equal(f.Pick(noon, Requirements{Service: "s", Model: "n"}, nil).Verdict, ModelMissing)
 	is.Equal(f.Pick(noon, Requirements{Service: "t"}, nil).Verdict, NoReplica)
 }
@@ -100,7 +100,7 @@
 		{Record: draining}, {Record: gone},
 		{Record: record("silent"), Silent: true}, {Record: record("replaced"), Replaced: true}, {Record: record("sound")},
 	}})
-	is.Equal(picks(f, noon, Requirements{Service: "s"}), map[string]int{"sound": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s"}), map[string]int{"sound": 50})
 }
 
 // TestLoadIsSharedOnlyWhereReplicasDoNotTellIt: otherwise each response carries the current load.
@@ -121,7 +121,7 @@
 	f.Sent(noon, f.peers["a"], "m", nil, 0)
 	select {
 	case <-f.RequestSent():
-		t.Error("nobody needs to know")
+		t.Error("raised although the replicas report their load")
 	default:
 	}
 }
@@ -132,9 +132,9 @@
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 1, Copies: []wire.Holding{{Replica: "a", Model: "m", Leaving: true}}})
-	is.Equal(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"}), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"}), map[string]int{"b": 50})
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 2})
-	is.Equal(len(picks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"})), 2)
+	is.Equal(len(countPicks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"})), 2)
 }
 
 // TestChangesOfAReplicaLeaveTheOthersAsTheyAre: after any changes the index equals one that is
@@ -171,7 +171,7 @@
 		anew.SetHoldings(&holdings)
 		for _, service := range []string{"s", "t"} {
 			for _, held := range []copyKey{{}, {model: "m"}, {model: "n"}, {model: "m", adapter: "a1"}, {model: "n", adapter: "a1"}} {
-				if got, want := listed(f, service, held), listed(anew, service, held); !slices.Equal(got, want) {
+				if got, want := indexedIDs(f, service, held), indexedIDs(anew, service, held); !slices.Equal(got, want) {
 					t.Fatalf("%s %v: %v is listed, not %v", service, held, got, want)
 				}
 			}
@@ -189,7 +189,7 @@
 	return registry.Entry{Record: record, Silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0}
 }
 
-func listed(f *Fleet, service string, held copyKey) []string {
+func indexedIDs(f *Fleet, service string, held copyKey) []string {
 	var ids []string
 	for _, c := range f.index.lookup(service, held) {
 		ids = append(ids, c.peer.ID())
--- a/src/exchange/handler_test.go
+++ b/src/exchange/handler_test.go
@@ -220,7 +220,7 @@
 	is.Equal(a.last().request.ContentLength, int64(len("short")))
 }
 
-func stream(events int) behaviour {
+func streaming(events int) behaviour {
 	return func(a arrival) bool {
 		a.head()
 		for id := 1; id <= events; id++ {
@@ -255,7 +255,7 @@
 
 func TestStreamsPassWhole(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, route(catalog.Streaming, 1), newReplica(t, "a", stream(3)))
+	b := newBench(t, route(catalog.Streaming, 1), newReplica(t, "a", streaming(3)))
 	got := b.do("POST", "one", "x")
 	is.NoErr(got.err)
 	is.Equal(events(got.body), []string{"1", "2", "3"})
--- a/src/exchange/pace_test.go
+++ b/src/exchange/pace_test.go
@@ -67,10 +67,10 @@
 	f := newTestFleet("a", "b")
 	f.SetLoads(wire.LoadReport{Loads: []wire.ReplicaLoad{{Replica: "a", Running: 3, UnreadMS: 300}}})
 	want := Requirements{Service: "s", Model: "m", PromptLength: 500}
-	is.Equal(picks(f, noon, want), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, want), map[string]int{"b": 50})
 	f.peers["b"].failed(noon, true)
 	is.Equal(f.Pick(noon, want, nil).Backlog, 300*time.Millisecond)
-	is.True(picks(f, noon.Add(otherGatewaysLoadTTL), want)["a"] > 0) // an old report is ignored
+	is.True(countPicks(f, noon.Add(otherGatewaysLoadTTL), want)["a"] > 0) // an old report is ignored
 }
 
 // TestOwnRequestsAreNotCountedTwice: the totals include what this gateway reported.
@@ -124,7 +124,7 @@
 	totals.Add(noon, []wire.Sent{{Replica: "a", ReadMS: 300}}, false)
 	f.SetBacklogs(totals.Totals(noon))
 	want := Requirements{Service: "s", Model: "m", PromptLength: 500}
-	is.Equal(picks(f, noon, want), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, want), map[string]int{"b": 50})
 	is.Equal(f.peers["a"].loadEstimate(noon).backlog, 300*time.Millisecond)
 	is.Equal(f.peers["a"].loadEstimate(noon.Add(200*time.Millisecond)).backlog, 100*time.Millisecond) // the replica continues reading
 	f.Sent(noon, f.peers["a"], "m", nil, 50*time.Millisecond)
--- a/src/exchange/permit.go
+++ b/src/exchange/permit.go
@@ -66,20 +66,20 @@
 	if c.permitRequests >= maxPermitRequests {
 		return -1
 	}
-	by := c.startedAt.Add(time.Duration(float64(c.route.Target) * maxPermitWaitShare))
-	return max(min(by.Sub(now), ratelimit.Ahead), 0)
+	deadline := c.startedAt.Add(time.Duration(float64(c.route.Target) * maxPermitWaitShare))
+	return max(min(deadline.Sub(now), ratelimit.Ahead), 0)
 }
 
 // permitted reports whether the request may be sent to the chosen replica. If a permit is needed,
 // it asks for one and waits until it becomes valid.
-func (c *call) permitted(ctx context.Context, peer *Peer, within time.Duration) bool {
+func (c *call) permitted(ctx context.Context, peer *Peer, maxWait time.Duration) bool {
 	fleet := c.handler.options.Fleet
 	if !fleet.needsPermit(peer) || c.sendPermit.covers(fleet.bootNow(), peer) {
 		return true
 	}
 	c.permitRequests++
 	asked := fleet.bootNow()
-	answer := c.handler.requestPermit(ctx, peer, within, c.priority())
+	answer := c.handler.requestPermit(ctx, peer, maxWait, c.priority())
 	switch {
 	case !fleet.needsPermit(peer):
 		// The issuer knows that the replica is no longer limited.
--- a/src/exchange/replicastate.go
+++ b/src/exchange/replicastate.go
@@ -61,9 +61,9 @@
 		if earlier.pool.address != peer.pool.address || earlier.name() != peer.name() || !restricted && !limited {
 			continue
 		}
-		breaks, connected := earlier.pool.checkIdle()
+		brokenConns, connected := earlier.pool.checkIdle()
 		breaksAtRequest := earlier.brokenAtRequest.Load()
-		if breaksAtRequest != int64(breaks) || breaksAtRequest == 0 && !connected {
+		if breaksAtRequest != int64(brokenConns) || breaksAtRequest == 0 && !connected {
 			continue
 		}
 		if restricted {
--- a/src/exchange/response.go
+++ b/src/exchange/response.go
@@ -79,13 +79,13 @@
 }
 
 // relayUnbuffered passes a long response on as it arrives.
-func (c *call) relayUnbuffered(ctx context.Context, peer *Peer, a *replicaResponse, begun []byte) outcome {
+func (c *call) relayUnbuffered(ctx context.Context, peer *Peer, a *replicaResponse, buffered []byte) outcome {
 	c.copyHeader(a.response.Header)
 	if a.response.ContentLength >= 0 {
 		c.writer.Header().Set("Content-Length", strconv.FormatInt(a.response.ContentLength, 10))
 	}
 	c.beginResponse(a.response.StatusCode)
-	_, err := io.Copy(c.writer, io.MultiReader(bytes.NewReader(begun), a.response.Body))
+	_, err := io.Copy(c.writer, io.MultiReader(bytes.NewReader(buffered), a.response.Body))
 	if err != nil {
 		a.abort()
 		c.connectionBroke = ctx.Err() == nil
--- a/src/exchange/restriction_test.go
+++ b/src/exchange/restriction_test.go
@@ -35,12 +35,12 @@
 }
 
 var restrictions = map[string]restriction{
-	"wants nothing for a time": {respond: backingOff},
+	"is in backoff":            {respond: backingOff},
 	"leaves":                   {respond: func(a arrival) bool { a.answer(200, "last", testLeaving+": 1"); return true }},
 	"is in a drained zone":     {respond: whole, order: drainZone},
-	"is cold, by its call":     {respond: whole, order: registerCold},
+	"is cold, by its record":   {respond: whole, order: registerCold},
 	"names a limit":            {respond: func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }},
-	"is cold, by its answer":   {respond: func(a arrival) bool { a.answer(200, "slow", testCold+": 60000"); return true }},
+	"is cold, by its response": {respond: func(a arrival) bool { a.answer(200, "slow", testCold+": 60000"); return true }},
 }
 
 // registerCold makes a replica report to the control nodes that it is cold. No permits are issued.
@@ -78,26 +78,26 @@
 			name string
 			play func(t *testing.T, how restriction) (closed *fakeReplica)
 		}{
-			{"a first try", firstTries},
-			{"a further try within a call", retried},
-			{"a stream that goes on at the copy of its run", continuedAtBackup},
-			{"a place that was assigned", assignedToSlot},
+			{"a first attempt", firstAttempts},
+			{"a retry within a call", retried},
+			{"a stream that continues at its backup", continuedAtBackup},
+			{"an assigned slot", assignedToSlot},
 			{"a request that waited for its account", waitedForAccount},
 			{"a request whose connection was being opened", waitedForConnection},
-			{"the word came with a late answer to another request", lateResponse},
-			{"the list of replicas was told anew", relisted},
-			{"the configuration has changed", reconfigured},
+			{"a late response to another request", lateResponse},
+			{"a replica that is listed again", relisted},
+			{"a changed configuration", reconfigured},
 		} {
 			t.Run(way.name+", "+name, func(t *testing.T) {
 				if closed := way.play(t, how); closed.count() != 1 {
-					t.Errorf("%d requests reached it after its word", closed.count()-1)
+					t.Errorf("%d requests reached it after the restriction", closed.count()-1)
 				}
 			})
 		}
 	}
 }
 
-func firstTries(t *testing.T, how restriction) *fakeReplica {
+func firstAttempts(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), closed)
 	b.close(closed, how)
@@ -142,7 +142,7 @@
 func assignedToSlot(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	open := newReplica(t, "y", whole)
-	b := newPlacedBench(t, &fakePlaces{err: errors.New("nobody assigns yet")}, closed, open)
+	b := newSlotBench(t, &fakePlaces{err: errors.New("nobody assigns yet")}, closed, open)
 	b.close(closed, how)
 	b.handler.slotAssigner.unavailableUntil.Store(0)
 	unused := make(chan wire.PlaceRelease, 64)
@@ -157,7 +157,7 @@
 			t.Errorf("status %d though another replica is free", got.status)
 		}
 		if release := <-unused; release.Outcome == string(dispatch.Answered) || release.Outcome == string(dispatch.Failed) {
-			t.Errorf("a place that was not used was given back as %s", release.Outcome)
+			t.Errorf("an unused slot was released as %s", release.Outcome)
 		}
 	}
 	return closed
--- a/src/exchange/send.go
+++ b/src/exchange/send.go
@@ -91,12 +91,12 @@
 // send sends a request and waits for the head of its response until the deadline. The connection
 // must be established within the given time. Cancelling the context closes the connection at any
 // time.
-func send(ctx context.Context, p *pool, o *outgoingRequest, id string, with sendHooks, within time.Duration, deadline, now time.Time) (*replicaResponse, error) {
-	c, err := p.get(ctx, within, now)
+func send(ctx context.Context, p *pool, o *outgoingRequest, id string, hooks sendHooks, connectTimeout time.Duration, deadline, now time.Time) (*replicaResponse, error) {
+	c, err := p.get(ctx, connectTimeout, now)
 	if err != nil {
 		return nil, errors.Wrap(errNotSent, err.Error())
 	}
-	if !with.admit() {
+	if !hooks.admit() {
 		p.putUnused(now, c)
 		return nil, errNotAccepted
 	}
@@ -107,7 +107,7 @@
 		a.abort()
 		return nil, err
 	}
-	if err := a.readHead(o.method, id, with.read); err != nil {
+	if err := a.readHead(o.method, id, hooks.read); err != nil {
 		a.abort()
 		return nil, err
 	}
--- a/src/exchange/sharedlimit_sim_test.go
+++ b/src/exchange/sharedlimit_sim_test.go
@@ -136,10 +136,10 @@
 }
 
 // request handles one request at a gateway. It waits at most half a second for a permit.
-func (w *limitedWorld) request(g *worldGateway, came time.Duration) {
+func (w *limitedWorld) request(g *worldGateway, arrivedAt time.Duration) {
 	switch {
 	case w.now < g.suspendedUntil:
-		w.after(g.suspendedUntil-w.now, func() { w.request(g, came) })
+		w.after(g.suspendedUntil-w.now, func() { w.request(g, arrivedAt) })
 	case !g.sharedLimit.active.Load():
 		w.send(g, sentRequest{sentAt: w.clock()})
 	case w.now < g.nextPermitAt:
--- a/src/exchange/slot_test.go
+++ b/src/exchange/slot_test.go
@@ -23,8 +23,8 @@
 	released chan wire.PlaceRelease
 }
 
-// newPlacedBench has fewer slots than gateways.
-func newPlacedBench(t *testing.T, f *fakePlaces, replicas ...*fakeReplica) *bench {
+// newSlotBench has fewer slots than gateways.
+func newSlotBench(t *testing.T, f *fakePlaces, replicas ...*fakeReplica) *bench {
 	f.asked, f.released = make(chan wire.PlaceRequest, 8), make(chan wire.PlaceRelease, 8)
 	b := newBench(t, route(catalog.Safe, 2), replicas...)
 	b.handler.options.Places = Places{
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	x, y := newReplica(t, "x", whole), newReplica(t, "y", whole)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
-	b := newPlacedBench(t, f, x, y)
+	b := newSlotBench(t, f, x, y)
 	for range 5 {
 		is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 		release := <-f.released
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	x, y := newReplica(t, "x", func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }), newReplica(t, "y", whole)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
-	b := newPlacedBench(t, f, x, y)
+	b := newSlotBench(t, f, x, y)
 	granted := true
 	b.handler.options.Permits.Ask = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) {
 		reply := wire.PermitReply{Known: true, Limits: true, Limited: true, PerSecond: 5, Term: 1, WaitUS: 10_000_000}
@@ -79,7 +79,7 @@
 func TestRequestWithoutSlotIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
-	b := newPlacedBench(t, &fakePlaces{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
+	b := newSlotBench(t, &fakePlaces{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
 	got := b.do("GET", "one", "")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.header.Get("Retry-After"), "0.420")
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	f := &fakePlaces{err: errors.New("cut off")}
-	b := newPlacedBench(t, f, x)
+	b := newSlotBench(t, f, x)
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
 	is.Equal(len(f.asked), 1)
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	f := &fakePlaces{}
-	b := newPlacedBench(t, f, x)
+	b := newSlotBench(t, f, x)
 	b.handler.SetGateways(4)
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 	is.Equal(len(f.asked), 0)
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	x := newReplica(t, "x", notRunning)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "x", Ticket: 1}}
-	b := newPlacedBench(t, f, x)
+	b := newSlotBench(t, f, x)
 	_ = b.do("GET", "one", "")
 	is.Equal(len((<-f.asked).Tried), 0)
 	is.Equal((<-f.asked).Tried, []string{"x"})
