--- a/src/exchange/conn_test.go
+++ b/src/exchange/conn_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// silentDials returns a dial function that answers nothing for a number of calls, as
-// where opening packets are lost, and counts them.
+// silentDials returns a dial function whose first calls time out, as if SYN packets were lost, and
+// a counter of the calls.
 func silentDials(silent int) (dialFunc, *int) {
 	count := 0
 	return func(ctx context.Context, _ string) (net.Conn, error) {
@@ -24,21 +24,21 @@
 	}, &count
 }
 
-func TestALostOpeningPacketIsRepeatedToTheOnlyReplica(t *testing.T) {
+func TestLostSYNIsRepeatedToTheOnlyReplica(t *testing.T) {
 	is := is.New(t)
 	dial, count := silentDials(1)
 	only := &Choice{}
-	c, err := newPool("x", dial).get(context.Background(), only.dialWithin(), noon)
+	c, err := newPool("x", dial).get(context.Background(), only.connectTimeout(), noon)
 	is.NoErr(err)
 	is.True(c != nil)
 	is.Equal(*count, 2)
 }
 
-func TestASilentReplicaIsLeftSoonWhereThereIsAnother(t *testing.T) {
+func TestUnresponsiveReplicaIsGivenUpEarlyIfThereIsAnother(t *testing.T) {
 	is := is.New(t)
 	dial, count := silentDials(100)
-	one := &Choice{Others: 2}
-	_, err := newPool("x", dial).get(context.Background(), one.dialWithin(), noon)
+	one := &Choice{Alternatives: 2}
+	_, err := newPool("x", dial).get(context.Background(), one.connectTimeout(), noon)
 	is.True(errors.Is(err, context.DeadlineExceeded))
 	is.Equal(*count, 1)
 }
@@ -49,7 +49,7 @@
 	count := 0
 	dial := func(context.Context, string) (net.Conn, error) { count++; return nil, refused }
 	only := &Choice{}
-	_, err := newPool("x", dial).get(context.Background(), only.dialWithin(), noon)
+	_, err := newPool("x", dial).get(context.Background(), only.connectTimeout(), noon)
 	is.True(errors.Is(err, refused))
 	is.Equal(count, 1)
 }
--- a/src/exchange/fleet_test.go
+++ b/src/exchange/fleet_test.go
@@ -25,8 +25,8 @@
 	return f
 }
 
-// picks counts how often each replica is chosen of 50 times.
-func picks(f *Fleet, now time.Time, want Want) map[string]int {
+// countPicks counts how often each replica is chosen in 50 choices.
+func countPicks(f *Fleet, now time.Time, want Requirements) map[string]int {
 	chosen := map[string]int{}
 	for range 50 {
 		if c := f.Pick(now, want, nil); c.Peer != nil {
@@ -36,57 +36,57 @@
 	return chosen
 }
 
-func TestLoadOfAllKindsTurnsAChoice(t *testing.T) {
+func TestEveryKindOfLoadAffectsTheChoice(t *testing.T) {
 	signs := map[string]func(p *Peer){
-		"own requests":   func(p *Peer) { p.begin(200 * time.Millisecond) },
-		"told load":      func(p *Peer) { p.told(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64}) },
+		"own requests":   func(p *Peer) { p.startRequest(200 * time.Millisecond) },
+		"told load":      func(p *Peer) { p.updateLoad(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64}) },
 		"failures":       func(p *Peer) { p.failed(noon, false) },
 		"no connection":  func(p *Peer) { p.failed(noon, true) },
-		"absent adapter": func(p *Peer) { p.lacks(noon, "m", "a1") },
+		"absent adapter": func(p *Peer) { p.noteMissingCopy(noon, "m", "a1") },
 	}
 	for name, sign := range signs {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet("a", "b")
 			sign(f.peers["a"])
-			is.Equal(picks(f, noon.Add(100*time.Millisecond), Want{Service: "s", Model: "m", Adapter: "a1", Prompt: 500}), map[string]int{"b": 50})
+			is.Equal(countPicks(f, noon.Add(100*time.Millisecond), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500}), map[string]int{"b": 50})
 		})
 	}
 }
 
-func TestOldSignsCountNoMore(t *testing.T) {
+func TestOldReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	p := f.peers["a"]
-	p.told(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64})
-	p.lacks(noon, "m", "a1")
-	chosen := picks(f, noon.Add(10*time.Second), Want{Service: "s", Model: "m", Adapter: "a1", Prompt: 500})
+	p.updateLoad(noon, Load{Known: true, Running: 40, Waiting: 2, Slots: 64})
+	p.noteMissingCopy(noon, "m", "a1")
+	chosen := countPicks(f, noon.Add(10*time.Second), Requirements{Service: "s", Model: "m", Adapter: "a1", PromptLength: 500})
 	is.True(chosen["a"] > 0)
 }
 
-func TestPromptPartsPullToWhereTheyWereRead(t *testing.T) {
+func TestReplicaWithCachedPartsIsPreferred(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	parts := []Part{{ID: "p", Tokens: 400}, {ID: "q", Tokens: 200}}
 	f.Sent(noon, f.peers["b"], "m", parts, 0)
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m", Prompt: 1000, Parts: parts}), map[string]int{"b": 50})
-	choice := f.Pick(noon, Want{Service: "s", Model: "m", Prompt: 1000, Parts: parts}, nil)
-	is.Equal(choice.Read, 400) // what is left to read there
-	// A part counts only if all before it were read there.
-	is.Equal(f.Pick(noon, Want{Service: "s", Model: "m", Prompt: 1000, Parts: []Part{{ID: "x", Tokens: 100}, {ID: "p", Tokens: 400}}}, nil).Read, 1000)
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}), map[string]int{"b": 50})
+	choice := f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: parts}, nil)
+	is.Equal(choice.PrefillTokens, 400) // the part that is not cached
+	// A part counts as cached only if all parts before it are cached.
+	is.Equal(f.Pick(noon, Requirements{Service: "s", Model: "m", PromptLength: 1000, Parts: []Part{{ID: "x", Tokens: 100}, {ID: "p", Tokens: 400}}}, nil).PrefillTokens, 1000)
 }
 
-func TestHoldingsGoBeforeTheReplicasWords(t *testing.T) {
+func TestHoldingsOverrideReportedModels(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 1, Copies: []wire.Holding{
 		{Replica: "a", Model: "m", Leaving: true},
 		{Replica: "b", Model: "m", Adapter: "a2"},
 	}})
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m"}), map[string]int{"b": 50})
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m", Adapter: "a2"}), map[string]int{"b": 50})
-	is.Equal(f.Pick(noon, Want{Service: "s", Model: "n"}, nil).Verdict, Missing)
-	is.Equal(f.Pick(noon, Want{Service: "t"}, nil).Verdict, None)
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m"}), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a2"}), map[string]int{"b": 50})
+	is.Equal(f.Pick(noon, Requirements{Service: "s", Model: "n"}, nil).Verdict, ModelMissing)
+	is.Equal(f.Pick(noon, Requirements{Service: "t"}, nil).Verdict, NoReplica)
 }
 
 func TestOnlyUsableReplicasAreChosen(t *testing.T) {
@@ -100,45 +100,45 @@
 		{Record: draining}, {Record: gone},
 		{Record: record("silent"), Silent: true}, {Record: record("replaced"), Replaced: true}, {Record: record("sound")},
 	}})
-	is.Equal(picks(f, noon, Want{Service: "s"}), map[string]int{"sound": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s"}), map[string]int{"sound": 50})
 }
 
-// TestLoadIsSharedOnlyWhereReplicasDoNotTellIt: each answer says it anew elsewhere.
+// TestLoadIsSharedOnlyWhereReplicasDoNotTellIt: otherwise each response carries the current load.
 func TestLoadIsSharedOnlyWhereReplicasDoNotTellIt(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: registry.Record{ID: "silent", Service: "t", Slots: 4}}}})
 	for _, id := range []string{"a", "silent"} {
-		f.peers[id].begin(0)
+		f.peers[id].startRequest(0)
 		f.Sent(noon, f.peers[id], "m", nil, 0)
 	}
 	is.Equal(len(f.Loads()), 2)
 	<-f.RequestSent()
-	f.Told(noon, f.peers["b"], Load{Known: true, Running: 1, Slots: 64})
+	f.UpdateLoad(noon, f.peers["b"], Load{Known: true, Running: 1, Slots: 64})
 	loads := f.Loads()
 	is.Equal(len(loads), 1)
 	is.Equal(loads[0].Replica, "silent")
 	f.Sent(noon, f.peers["a"], "m", nil, 0)
 	select {
 	case <-f.RequestSent():
-		t.Error("nobody needs to know")
+		t.Error("raised although the replicas report their load")
 	default:
 	}
 }
 
-// TestAnAdapterLeavesWithItsModel: a copy that is about to be unloaded gets no request
-// for one of its adapters either.
+// TestAnAdapterLeavesWithItsModel: requests for an adapter are not sent to a copy of its model that
+// is being unloaded.
 func TestAnAdapterLeavesWithItsModel(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet("a", "b")
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 1, Copies: []wire.Holding{{Replica: "a", Model: "m", Leaving: true}}})
-	is.Equal(picks(f, noon, Want{Service: "s", Model: "m", Adapter: "a1"}), map[string]int{"b": 50})
+	is.Equal(countPicks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"}), map[string]int{"b": 50})
 	f.SetHoldings(&wire.Holdings{Term: 1, Version: 2})
-	is.Equal(len(picks(f, noon, Want{Service: "s", Model: "m", Adapter: "a1"})), 2)
+	is.Equal(len(countPicks(f, noon, Requirements{Service: "s", Model: "m", Adapter: "a1"})), 2)
 }
 
-// TestChangesOfAReplicaLeaveTheOthersAsTheyAre: the index after any changes is what one
-// made anew from the same words would be.
+// TestChangesOfAReplicaLeaveTheOthersAsTheyAre: after any changes the index equals one that is
+// built from scratch.
 func TestChangesOfAReplicaLeaveTheOthersAsTheyAre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return noon })
@@ -171,7 +171,7 @@
 		anew.SetHoldings(&holdings)
 		for _, service := range []string{"s", "t"} {
 			for _, held := range []copyKey{{}, {model: "m"}, {model: "n"}, {model: "m", adapter: "a1"}, {model: "n", adapter: "a1"}} {
-				if got, want := listed(f, service, held), listed(anew, service, held); !slices.Equal(got, want) {
+				if got, want := indexedIDs(f, service, held), indexedIDs(anew, service, held); !slices.Equal(got, want) {
 					t.Fatalf("%s %v: %v is listed, not %v", service, held, got, want)
 				}
 			}
@@ -189,9 +189,9 @@
 	return registry.Entry{Record: record, Silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0}
 }
 
-func listed(f *Fleet, service string, held copyKey) []string {
+func indexedIDs(f *Fleet, service string, held copyKey) []string {
 	var ids []string
-	for _, c := range f.index.of(service, held) {
+	for _, c := range f.index.lookup(service, held) {
 		ids = append(ids, c.peer.ID())
 	}
 	slices.Sort(ids)
--- /dev/null
+++ b/src/exchange/response.go
@@ -0,0 +1,289 @@
+package exchange
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/moorspool/moorspool/src/event"
+)
+
+// maxBufferedBytes is the largest response that is read completely before the client's response
+// begins. Until then a broken response can be replaced by another attempt.
+const maxBufferedBytes = 1 << 20
+
+// Default values of Retry-After, by the reason of the refusal.
+const (
+	retryAfterMissing = 500 * time.Millisecond
+	retryAfterBusy    = 250 * time.Millisecond
+	// retryAfterStart is about the time that control nodes need to start after maxConfigWait has
+	// passed.
+	retryAfterStart = 500 * time.Millisecond
+)
+
+// errorResponse is a complete error response of a replica. It is used if no other attempt succeeds.
+type errorResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// bufferError reads the error response of a replica that ran the request.
+func (c *call) bufferError(peer *Peer, a *replicaResponse) (outcome, *errorResponse) {
+	now := c.handler.options.Now()
+	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedBytes))
+	peer.failed(now, false)
+	if err != nil {
+		a.abort()
+		c.connectionBroke = !c.clientLeft()
+		c.reason += "; the failure's body broke off"
+		return unknown, nil
+	}
+	a.reuseConn(now)
+	c.reason += "; " + peer.ID() + " answered " + a.response.Status
+	return failed, &errorResponse{status: a.response.StatusCode, header: a.response.Header, body: body}
+}
+
+// relayBuffered passes a response on once it has arrived completely.
+func (c *call) relayBuffered(ctx context.Context, peer *Peer, a *replicaResponse) outcome {
+	body, err := io.ReadAll(&retainingReader{call: c, from: io.LimitReader(a.response.Body, maxBufferedBytes+1)})
+	if errors.Is(err, errRetentionFull) {
+		// The response can no longer be replaced if it breaks off, but memory stays bounded.
+		return c.relayUnbuffered(ctx, peer, a, body)
+	}
+	now := c.handler.options.Now()
+	if err != nil {
+		a.abort()
+		if ctx.Err() == nil {
+			c.connectionBroke = true
+			peer.failed(now, false)
+		}
+		c.reason += "; the answer broke off: " + err.Error()
+		return unknown
+	}
+	if len(body) > maxBufferedBytes {
+		return c.relayUnbuffered(ctx, peer, a, body)
+	}
+	a.reuseConn(now)
+	peer.succeeded()
+	c.writeResponse(a.response.StatusCode, a.response.Header, body)
+	return answered
+}
+
+// relayUnbuffered passes a long response on as it arrives.
+func (c *call) relayUnbuffered(ctx context.Context, peer *Peer, a *replicaResponse, buffered []byte) outcome {
+	c.copyHeader(a.response.Header)
+	if a.response.ContentLength >= 0 {
+		c.writer.Header().Set("Content-Length", strconv.FormatInt(a.response.ContentLength, 10))
+	}
+	c.beginResponse(a.response.StatusCode)
+	_, err := io.Copy(c.writer, io.MultiReader(bytes.NewReader(buffered), a.response.Body))
+	if err != nil {
+		a.abort()
+		c.connectionBroke = ctx.Err() == nil
+		c.noteLostReplica(ctx, peer)
+		c.abortResponse("the answer broke off: " + err.Error())
+	}
+	a.reuseConn(c.handler.options.Now())
+	peer.succeeded()
+	return answered
+}
+
+func (c *call) copyHeader(header http.Header) {
+	to := c.writer.Header()
+	dropped := connectionHeaders(header)
+	for name, values := range header {
+		if hopByHop[name] || dropped[name] {
+			continue
+		}
+		to[name] = values
+	}
+}
+
+func (c *call) beginResponse(status int) {
+	c.status = status
+	c.firstByte = c.handler.options.Now()
+	_ = http.NewResponseController(c.writer).SetWriteDeadline(c.deadline.Add(time.Second))
+	c.writer.WriteHeader(status)
+}
+
+func (c *call) writeResponse(status int, header http.Header, body []byte) {
+	c.copyHeader(header)
+	if c.request.Method != http.MethodHead {
+		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	}
+	c.beginResponse(status)
+	_, _ = c.writer.Write(body)
+}
+
+// endWithoutReplica ends a request for which no replica was found.
+func (c *call) endWithoutReplica(lastError *errorResponse, choice Choice) {
+	if c.clientLeft() {
+		c.abortResponse("the client left")
+	}
+	if c.stream != nil && c.stream.started {
+		c.abortResponse("no other replica can go on with the stream")
+	}
+	if lastError != nil {
+		c.writeResponse(lastError.status, lastError.header, lastError.body)
+		return
+	}
+	reason := "no replica of the service is in reach"
+	switch choice.Verdict {
+	case NotAccepting:
+		c.handler.options.Metrics.BackoffRefusals.Inc(1)
+		c.retryIn = jitterRetry(choice.AcceptsIn, rand.Float64())
+		reason = c.handler.options.Fleet.describeUnavailable(c.requirements())
+	case ModelMissing:
+		reason = "no replica in reach holds the model"
+	case NoFreeSlot:
+		reason = "all places of the service are taken for longer than the request has"
+	case Backlog:
+		reason = "every replica with the model has too much to read for the request to be in time"
+	}
+	if c.possibleRuns > 0 {
+		c.refuse(c.unknownOutcomeStatus(), c.reason+"; "+reason)
+		return
+	}
+	c.refuse(http.StatusServiceUnavailable, strings.TrimPrefix(c.reason+"; "+reason, "; "))
+}
+
+// endAfterAttempt responds to the client after the last attempt.
+func (c *call) endAfterAttempt(ctx context.Context, ended outcome, lastError *errorResponse) {
+	if c.clientLeft() {
+		c.abortResponse("the client left")
+	}
+	if ended == truncated || c.stream != nil && c.stream.started {
+		c.abortResponse("the stream can't go on")
+	}
+	if lastError != nil {
+		c.writeResponse(lastError.status, lastError.header, lastError.body)
+		return
+	}
+	if c.possibleRuns > 0 {
+		c.refuse(c.unknownOutcomeStatus(), c.reason)
+		return
+	}
+	if choice := c.handler.options.Fleet.Pick(c.handler.options.Now(), c.requirements(), c.tried); choice.Verdict == NotAccepting {
+		c.retryIn = jitterRetry(choice.AcceptsIn, rand.Float64())
+	}
+	c.refuse(http.StatusServiceUnavailable, c.reason)
+}
+
+// unknownOutcomeStatus returns the status for a request that may have run. It makes no statement on
+// whether it did.
+func (c *call) unknownOutcomeStatus() int {
+	if !c.handler.options.Now().Add(responseMargin).Before(c.deadline) {
+		return http.StatusGatewayTimeout
+	}
+	return http.StatusBadGateway
+}
+
+// refuse responds with an error of the gateway. Status 503 states that the request has not run and
+// never will; callers use it only if that is certain.
+func (c *call) refuse(status int, reason string) {
+	header := c.writer.Header()
+	c.reason = reason
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
+		header.Set("Retry-After", seconds(c.retryAfter()))
+	}
+	header.Set("Content-Type", "text/plain; charset=utf-8")
+	body := reason + "\n"
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	c.beginResponse(status)
+	_, _ = io.WriteString(c.writer, body)
+	c.handler.options.Metrics.Refusals.Inc(1)
+}
+
+func (c *call) retryAfter() time.Duration {
+	switch {
+	case c.retryIn > 0:
+		return c.retryIn
+	case c.route == nil:
+		return retryAfterStart
+	case c.sends == 0:
+		return retryAfterMissing
+	}
+	return retryAfterBusy
+}
+
+func seconds(d time.Duration) string {
+	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
+}
+
+// abortResponse ends a response that has begun so that it cannot be taken for complete.
+func (c *call) abortResponse(reason string) {
+	c.reason += "; " + reason
+	c.status = 0
+	panic(http.ErrAbortHandler)
+}
+
+// clientLeft reports whether the client has closed its connection.
+func (c *call) clientLeft() bool { return c.request.Context().Err() != nil }
+
+// kind returns the kind of the event that logs the request's result.
+func (c *call) kind() event.Kind {
+	switch {
+	case c.status == 0 && c.clientLeft():
+		return event.RequestLeft
+	case c.status == 0, c.status >= http.StatusBadRequest:
+		return event.RequestRefused
+	}
+	return event.RequestFinished
+}
+
+// logResult logs the result of the request.
+func (c *call) logResult() {
+	h := c.handler
+	kind := c.kind()
+	now := h.options.Now()
+	took := now.Sub(c.startedAt)
+	h.options.Metrics.Latency.RecordDuration(took)
+	h.options.Metrics.Requests.Inc(1)
+	if c.pauses.longest > 0 {
+		h.options.Metrics.Pause.RecordDuration(c.pauses.longest)
+	}
+	route, service, host := "", c.service, ""
+	if c.route != nil {
+		route = c.route.Name
+	}
+	if len(c.tried) > 0 {
+		host = c.tried[len(c.tried)-1].ID()
+	}
+	content := ""
+	if c.digested {
+		content = ", content " + c.content.String()
+	}
+	firstByte := time.Duration(-1)
+	if !c.firstByte.IsZero() {
+		firstByte = c.firstByte.Sub(c.startedAt)
+	}
+	h.options.Ring.Add(event.Event{
+		Kind: kind, Request: c.facts.ID, Model: modelName(c.facts), Host: host,
+		Reason: fmt.Sprintf("status %d, route %s, service %s, account %q, configuration %d, sent to %d, may have run at %d, first byte %d ms, longest pause %s, took %d ms of %d ms%s; %s",
+			c.status, route, service, c.accountName(), c.version, c.sends, c.possibleRuns, firstByte.Milliseconds(), c.pauses.String(), took.Milliseconds(), c.deadline.Sub(c.startedAt).Milliseconds(), content, c.reason),
+	})
+}
+
+func modelName(f Facts) string {
+	if f.Adapter == "" {
+		return f.Model
+	}
+	return f.Model + "/" + f.Adapter
+}
+
+func splitList(value string) []string {
+	fields := strings.Split(value, ",")
+	for i := range fields {
+		fields[i] = strings.TrimSpace(fields[i])
+	}
+	return fields
+}
--- a/src/exchange/place_test.go
+++ b/src/exchange/slot_test.go
@@ -15,7 +15,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// fakePlaces assigns what a test says.
+// fakePlaces returns the reply set by a test and records the calls.
 type fakePlaces struct {
 	reply    wire.PlaceReply
 	err      error
@@ -23,8 +23,8 @@
 	released chan wire.PlaceRelease
 }
 
-// newPlacedBench has fewer places than gateways.
-func newPlacedBench(t *testing.T, f *fakePlaces, replicas ...*fakeReplica) *bench {
+// newSlotBench has fewer slots than gateways.
+func newSlotBench(t *testing.T, f *fakePlaces, replicas ...*fakeReplica) *bench {
 	f.asked, f.released = make(chan wire.PlaceRequest, 8), make(chan wire.PlaceRelease, 8)
 	b := newBench(t, route(catalog.Safe, 2), replicas...)
 	b.handler.options.Places = Places{
@@ -38,11 +38,11 @@
 	return b
 }
 
-func TestARequestGoesWhereItsPlaceIs(t *testing.T) {
+func TestRequestIsSentToAssignedReplica(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", whole), newReplica(t, "y", whole)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
-	b := newPlacedBench(t, f, x, y)
+	b := newSlotBench(t, f, x, y)
 	for range 5 {
 		is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 		release := <-f.released
@@ -54,12 +54,12 @@
 	is.True((<-f.asked).WithinMS > 0)
 }
 
-// TestWhatALimitedReplicaTakesIsUsedBesidePlaces: places are assigned at the others only.
-func TestWhatALimitedReplicaTakesIsUsedBesidePlaces(t *testing.T) {
+// TestLimitedReplicaIsUsedBesideAssignedSlots: slots are only assigned at replicas without a limit.
+func TestLimitedReplicaIsUsedBesideAssignedSlots(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }), newReplica(t, "y", whole)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
-	b := newPlacedBench(t, f, x, y)
+	b := newSlotBench(t, f, x, y)
 	granted := true
 	b.handler.options.Permits.Ask = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) {
 		reply := wire.PermitReply{Known: true, Limits: true, Limited: true, PerSecond: 5, Term: 1, WaitUS: 10_000_000}
@@ -76,58 +76,57 @@
 	is.Equal(y.count(), 4)
 }
 
-func TestARequestWithoutAPlaceIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutSlotIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
-	b := newPlacedBench(t, &fakePlaces{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
+	b := newSlotBench(t, &fakePlaces{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
 	got := b.do("GET", "one", "")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.header.Get("Retry-After"), "0.420")
 	is.Equal(x.count(), 0)
 }
 
-// TestAGatewayChoosesByItselfWhereNobodyAssigns, and does not ask again for a while.
-func TestAGatewayChoosesByItselfWhereNobodyAssigns(t *testing.T) {
+// TestGatewayChoosesReplicaWithoutAssigner: it does not request a slot again for a while.
+func TestGatewayChoosesReplicaWithoutAssigner(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	f := &fakePlaces{err: errors.New("cut off")}
-	b := newPlacedBench(t, f, x)
+	b := newSlotBench(t, f, x)
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
 	is.Equal(len(f.asked), 1)
 }
 
-// TestPlacesAreNotAskedForWhereOwnCountsSayEnough: with few gateways each sees much of the
-// load.
-func TestPlacesAreNotAskedForWhereOwnCountsSayEnough(t *testing.T) {
+// TestFewGatewaysRequestNoSlots: with few gateways each of them sees much of the load.
+func TestFewGatewaysRequestNoSlots(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	f := &fakePlaces{}
-	b := newPlacedBench(t, f, x)
+	b := newSlotBench(t, f, x)
 	b.handler.SetGateways(4)
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 	is.Equal(len(f.asked), 0)
 }
 
-// TestAnotherPlaceIsAskedForAfterARefusal by the replica, without the one that was tried.
-func TestAnotherPlaceIsAskedForAfterARefusal(t *testing.T) {
+// TestAnotherSlotIsRequestedAfterRejection: the replica that rejected the request is excluded.
+func TestAnotherSlotIsRequestedAfterRejection(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", notRunning)
 	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "x", Ticket: 1}}
-	b := newPlacedBench(t, f, x)
+	b := newSlotBench(t, f, x)
 	_ = b.do("GET", "one", "")
 	is.Equal(len((<-f.asked).Tried), 0)
 	is.Equal((<-f.asked).Tried, []string{"x"})
 	is.Equal((<-f.released).Outcome, string(dispatch.Full))
 }
 
-// TestAPromptThatWouldBeFarTooLateIsRefusedAtOnce, with the time after which the replica has read
-// what it was sent before.
-func TestAPromptThatWouldBeFarTooLateIsRefusedAtOnce(t *testing.T) {
+// TestPromptBehindLongBacklogIsRefusedAtOnce: Retry-After is the time that the replica needs for
+// its backlog.
+func TestPromptBehindLongBacklogIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
 	b := newBench(t, route(catalog.Safe, 2), x)
-	b.fleet.peers["x"].begin(4 * time.Second)
+	b.fleet.peers["x"].startRequest(4 * time.Second)
 	got := b.do("GET", "one", "", testModel+": m")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
