--- a/src/config/set.go
+++ b/src/config/set.go
@@ -136,7 +136,8 @@
 // Adapter returns the adapter to apply, "" for none.
 func (r Resolved) Adapter() string { return r.adapter }
 
-// Resolve resolves the name of a model, an adapter or a label.
+// Resolve returns the model or adapter with a name. It follows at most one label: a
+// label that points to another label is not resolved.
 func (s *Set) Resolve(name string) (Resolved, bool) {
 	if label := s.objects[Key{KindLabel, name}].Label; label != nil {
 		name = label.PointsTo
--- a/src/fleet/quarantine.go
+++ b/src/fleet/quarantine.go
@@ -28,7 +28,7 @@
 	// exchangeInterval is how often a control node sends all entries to another one, which may have
 	// been restarted or disconnected.
 	exchangeInterval = time.Second
-	// minSharedEnds is the number of crashes from which on a content is sent to gateways and saved.
+	// minSharedEnds is the least number of crashes for which a content is sent to gateways and saved.
 	minSharedEnds = 2
 )
 
--- a/src/fleet/unknown.go
+++ b/src/fleet/unknown.go
@@ -11,8 +11,9 @@
 // choose them.
 const maxUnknownNames = 32
 
-// unknownNames records headers and fields of backend servers that moorspool does not know, which
-// could otherwise go unnoticed. It is safe for concurrent use.
+// unknownNames records headers and fields of backend servers that moorspool does not know. Such a
+// header may ask a gateway for something, which would go unnoticed if it were not logged. It is safe
+// for concurrent use.
 type unknownNames struct {
 	proc *process.Process
 
--- a/src/place/choose.go
+++ b/src/place/choose.go
@@ -7,8 +7,8 @@
 )
 
 // chooseAccelerator returns the best accelerator for another copy of a model, -1 if there is none,
-// and the number of accelerators rejected for each reason. It must have room and be on an open host
-// without a copy of the model.
+// and, as text, the number of accelerators rejected for each reason. The accelerator must have room
+// and be on an open host without a copy of the model.
 func (p *planner) chooseAccelerator(model *modelState) (int, string) {
 	best := -1
 	noRoom, sameHost, apart := 0, 0, 0
--- a/src/place/room.go
+++ b/src/place/room.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// makeRoom drops copies to make room for a copy of a model, on the accelerator where that costs
-// least. The copy is loaded by a later plan, when the memory is known to be free.
+// makeRoom drops copies that are worth less than one of this model, on the accelerator where that
+// costs least. The copy is loaded by a later plan, when the memory is known to be free.
 func (p *planner) makeRoom(model *modelState) bool {
 	bestAt, bestCost := -1, math.Inf(1)
 	var bestVictims []*modelState
--- a/src/planner/orders.go
+++ b/src/planner/orders.go
@@ -311,7 +311,8 @@
 	}
 }
 
-// NotSent records that an order was not sent.
+// NotSent records that an order was certainly not written to the engine, so that its memory is not
+// reserved any longer.
 func (z *Zone) NotSent(hostOrder HostOrder) {
 	if hostLedger := z.ledger.Host(hostOrder.Host); hostLedger != nil {
 		hostLedger.Discard(hostOrder.Order)
