--- a/src/exchange/backoff_test.go
+++ b/src/exchange/backoff_test.go
@@ -19,9 +19,9 @@
 
 func init() { testseed.Fix() }
 
-func taken(i *backoffState, now time.Time) bool {
-	_, taken := i.accepts(now)
-	return taken
+func accepted(i *backoffState, now time.Time) bool {
+	_, accepted := i.accepts(now)
+	return accepted
 }
 
 // TestLatestBackoffEndCounts: another backoff during a backoff can extend it but never shortens it.
@@ -30,10 +30,10 @@
 	var i backoffState
 	is.True(i.backOff(noon, 3*time.Second, 0))
 	is.True(!i.backOff(noon.Add(time.Second), time.Second, 0))
-	is.True(!taken(&i, noon.Add(2500*time.Millisecond)))
+	is.True(!accepted(&i, noon.Add(2500*time.Millisecond)))
 	is.True(!i.backOff(noon.Add(2*time.Second), 3*time.Second, 0))
-	is.True(!taken(&i, noon.Add(4900*time.Millisecond)))
-	is.True(taken(&i, noon.Add(5*time.Second)))
+	is.True(!accepted(&i, noon.Add(4900*time.Millisecond)))
+	is.True(accepted(&i, noon.Add(5*time.Second)))
 }
 
 // TestGatewaysRejectedTogetherReturnSpreadOut: no gateway returns before the backoff ends, all
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	var i backoffState
 	i.backOff(noon, math.MaxInt64, 0)
-	is.True(!taken(&i, noon.Add(maxBackoff-time.Second)))
+	is.True(!accepted(&i, noon.Add(maxBackoff-time.Second)))
 	is.True(i.admit(noon.Add(maxBackoff)))
 	is.True(!i.admit(noon.Add(maxBackoff)))
 }
@@ -96,7 +96,7 @@
 	}
 	is.Equal(sent, 4)
 	i.backOff(at.Add(2*trialInterval), time.Second, 0)
-	is.True(!taken(&i, at.Add(3*trialInterval)))
+	is.True(!accepted(&i, at.Add(3*trialInterval)))
 	after := at.Add(2*trialInterval + time.Second)
 	is.True(i.admit(after))
 	is.True(i.noteAccepted(after))
@@ -112,7 +112,7 @@
 	var i backoffState
 	i.backOff(noon, time.Second, 0)
 	is.True(!i.noteAccepted(noon.Add(100 * time.Millisecond)))
-	is.True(!taken(&i, noon.Add(200*time.Millisecond)))
+	is.True(!accepted(&i, noon.Add(200*time.Millisecond)))
 }
 
 // TestRejectionWithoutBackoffDoesNotEndTrial: further trial requests are still limited.
--- a/src/exchange/conn.go
+++ b/src/exchange/conn.go
@@ -21,8 +21,9 @@
 	// only after a second; a hundred milliseconds are many round trips within a region.
 	dialTimeout = 400 * time.Millisecond
 	dialAttempt = 100 * time.Millisecond
-	// defaultIdleTime is how long an idle connection is kept if the replica names no time.
-	defaultIdleTime = 10 * time.Second
+	// maxIdleTime is the longest time for which an idle connection is kept, also if the replica
+	// names no time.
+	maxIdleTime = 10 * time.Second
 	// idleMargin is subtracted from the time that the replica names, so that a connection is not
 	// used while the replica closes it.
 	idleMargin = time.Second
@@ -53,7 +54,7 @@
 	idle   []*conn
 	closed bool
 	opened int
-	// brokenConns counts the connections that the replica reset or refused.
+	// brokenConns counts the connections that broke or could not be established.
 	brokenConns int
 }
 
@@ -133,7 +134,7 @@
 	p.keep(c)
 }
 
-// connectionBroke counts a connection that the replica reset or refused.
+// connectionBroke counts a connection that broke or could not be established.
 func (p *pool) connectionBroke() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,9 +212,9 @@
 		if err != nil {
 			return 0
 		}
-		return min(time.Duration(seconds)*time.Second-idleMargin, defaultIdleTime)
+		return min(time.Duration(seconds)*time.Second-idleMargin, maxIdleTime)
 	}
-	return defaultIdleTime
+	return maxIdleTime
 }
 
 // openAndSilent reports whether an idle connection is open and has received nothing. Bytes that
--- a/src/exchange/demand.go
+++ b/src/exchange/demand.go
@@ -77,10 +77,10 @@
 	}
 }
 
-// Asked receives a value after requests were counted.
+// Asked returns a channel that receives a value after requests were counted.
 func (d *Demand) Asked() <-chan struct{} { return d.any.Raised() }
 
-// Urgent receives a value after a request found no copy of its model.
+// Urgent returns a channel that receives a value after a request found no copy of its model.
 func (d *Demand) Urgent() <-chan struct{} { return d.urgent.Raised() }
 
 // Drain returns and resets the counts.
--- a/src/exchange/facts.go
+++ b/src/exchange/facts.go
@@ -78,7 +78,7 @@
 	Cold time.Duration
 	// Limit is the replica's rate limit over all gateways.
 	Limit RateLimit
-	// Unknown lists the names of unknown statements in the response.
+	// Unknown lists the names of headers that are meant for gateways and not known to this one.
 	Unknown []string
 }
 
--- a/src/exchange/fleet.go
+++ b/src/exchange/fleet.go
@@ -73,7 +73,8 @@
 	adapter string
 }
 
-// copies is a set of models and adapters. The value is set if the copy is being unloaded.
+// copies is a set of models and adapters. In the placing node's copies the value is true if the
+// copy is being unloaded; in all other sets it is always true.
 type copies map[copyKey]bool
 
 // NewFleet returns a fleet without replicas for a gateway in an availability zone. bootNow returns
--- a/src/exchange/handler.go
+++ b/src/exchange/handler.go
@@ -61,7 +61,7 @@
 	Ring    *event.Ring
 	Metrics *Metrics
 	Now     func() time.Time
-	// Unknown is called with the unknown statements in a replica's response. It may be nil.
+	// Unknown is called with the names of unknown headers in a replica's response. It may be nil.
 	Unknown func(replica string, names []string)
 	// RetainBytes limits the buffered bytes of bodies and responses over all requests; 0 means no
 	// limit.
--- a/src/exchange/index.go
+++ b/src/exchange/index.go
@@ -58,8 +58,8 @@
 	x.delete(s, copyKey{})
 }
 
-// update lists a replica under the copies that it reported and under those that are known to be
-// loaded since, but not under those that are known to be unloaded.
+// update lists a replica under the copies that it reported and under those that are known to have
+// been loaded since, but not under those that are known to be leaving.
 func (x *copyIndex) update(s *indexedReplica, known copies) {
 	next := make(copies, len(s.reported)+len(known))
 	for held := range s.reported {
--- a/src/exchange/load.go
+++ b/src/exchange/load.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if model != "" {
-		p.addBacklog(now, prompt)
+		p.addTotalBacklog(now, prompt)
 		f.sentPrompts.add(p.id, prompt)
 	}
 }
@@ -89,5 +89,6 @@
 	}
 }
 
-// RequestSent receives a value after a request was sent that the other gateways should know of.
+// RequestSent returns a channel that receives a value after a request was sent that the other
+// gateways should know of.
 func (f *Fleet) RequestSent() <-chan struct{} { return f.requestSent.Raised() }
--- a/src/exchange/pace.go
+++ b/src/exchange/pace.go
@@ -19,9 +19,9 @@
 	priorityShareStep = 0.15
 	// maxPaceWaitShare is the share of its target that a request waits at most.
 	maxPaceWaitShare = 0.6
-	// prefillChunkTokens is the number of prompt tokens that an engine reads between two decoding
-	// steps. It is a common default. The configuration has no setting for it, so other engines may
-	// differ.
+	// prefillChunkTokens is the maximum number of prompt tokens that an engine reads between two
+	// decoding steps. It is a common default. The configuration has no setting for it, so other
+	// engines may differ.
 	prefillChunkTokens = 2048
 	// paceInterval is how often a waiting request checks again.
 	paceInterval = 4 * time.Millisecond
--- a/src/exchange/peer.go
+++ b/src/exchange/peer.go
@@ -10,8 +10,10 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Times for ejecting a failed replica and for trusting reports.
+// Times for ejecting a failed replica and for using reports, and the weight of failures.
 const (
+	// minEjection is the duration of the first ejection. It doubles with each further one until a
+	// request succeeds, up to maxEjection.
 	minEjection = 400 * time.Millisecond
 	maxEjection = 4 * time.Second
 	// replicaLoadTTL is how long the load reported by a replica is used.
@@ -118,7 +120,8 @@
 	p.sentSinceLoad++
 }
 
-// read counts the prompt of a request as read, since its first event has arrived.
+// read removes the prefill time of a prompt from the gateway's own backlog. It is called when the
+// first event of the request has arrived, or when the attempt ends without one.
 func (p *Peer) read(prompt time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,15 +148,16 @@
 	p.otherGatewaysAt = now
 }
 
-// addBacklog adds the prefill time of a prompt that is sent now, as the other gateways do.
-func (p *Peer) addBacklog(now time.Time, prompt time.Duration) {
+// addTotalBacklog adds the prefill time of a prompt that is sent now to the estimated backlog of
+// all gateways. The other gateways add it in the same way.
+func (p *Peer) addTotalBacklog(now time.Time, prompt time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.prefillDoneAt = loadview.After(now, p.prefillDoneAt, prompt)
 }
 
-// setBacklog sets the prefill time of the prompts of all gateways.
-func (p *Peer) setBacklog(now time.Time, backlog time.Duration) {
+// setTotalBacklog sets the estimated backlog of all gateways.
+func (p *Peer) setTotalBacklog(now time.Time, backlog time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.prefillDoneAt = now.Add(backlog)
--- a/src/exchange/permit.go
+++ b/src/exchange/permit.go
@@ -20,8 +20,8 @@
 	// permitCostMS is the cost in milliseconds of asking for a permit: one round trip to the
 	// leader.
 	permitCostMS = 5.0
-	// permitTimeout limits the wait for the issuer's reply. A permit that arrives later would be
-	// nearly expired.
+	// permitTimeout limits the wait for the issuer's reply. A permit that arrives later would be of
+	// little use, since its validity counts from when it was asked for.
 	permitTimeout = ratelimit.Life / 2
 	// maxPermitWaitShare is the share of its target that a request waits for a permit. The issuer
 	// announces the wait in advance, so a request whose wait would be longer does not wait at all.
--- a/src/exchange/prompts.go
+++ b/src/exchange/prompts.go
@@ -39,7 +39,8 @@
 	return report
 }
 
-// PromptsSent receives a value when there are prompts that DrainPrompts has not returned.
+// PromptsSent returns a channel that receives a value when there are prompts that DrainPrompts has
+// not returned.
 func (f *Fleet) PromptsSent() <-chan struct{} { return f.sentPrompts.changed.Raised() }
 
 // DrainPrompts returns the prompts that were sent since the last call.
@@ -53,7 +54,7 @@
 	defer f.mu.Unlock()
 	loadview.Unpack(totals, func(key uint64, backlog time.Duration) {
 		if peer := f.byBacklogKey[key]; peer != nil {
-			peer.setBacklog(now, backlog)
+			peer.setTotalBacklog(now, backlog)
 		}
 	})
 }
--- a/src/exchange/sharedlimit.go
+++ b/src/exchange/sharedlimit.go
@@ -37,8 +37,8 @@
 
 // sentRequest describes the request to which a response belongs.
 type sentRequest struct {
-	// sentAt is when the request was sent; term and grant identify its permit and are 0 if it had
-	// none.
+	// sentAt is when the request was sent. term and grant are the term and number of its permit, 0
+	// if it had none.
 	sentAt      time.Time
 	term, grant uint64
 	// succeeded is set if the replica ran the request without a server error.
--- a/src/exchange/sharedlimit_sim_test.go
+++ b/src/exchange/sharedlimit_sim_test.go
@@ -35,6 +35,7 @@
 	now    time.Duration
 	events simQueueOf
 	// faults is the probability that a message is delayed; some of the delayed messages are lost.
+	// Half of it is the probability that a node does not reach the leader.
 	faults   float64
 	gateways []*worldGateway
 	nodes    []*worldNode
--- a/src/exchange/slot.go
+++ b/src/exchange/slot.go
@@ -49,8 +49,8 @@
 	return slots > 0 && slots < h.Gateways()
 }
 
-// assignSlot requests a slot. It returns false if the gateway must choose a replica by itself: there
-// was no reply, the assigned replica cannot be used, or no replica accepts requests from this
+// assignSlot requests a slot. It returns false if the gateway must choose a replica by itself:
+// there was no reply, the assigned replica cannot be used, or no replica accepts requests from this
 // gateway.
 func (c *call) assignSlot(ctx context.Context, now time.Time) (Choice, bool) {
 	h := c.handler
--- a/src/exchange/speed_test.go
+++ b/src/exchange/speed_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestPrefillSpeedIsEstimatedDespiteQueueing: most prompts are queued behind others, and the
-// estimate still approaches the replica's own speed.
+// estimate still approaches the replica's own speed, for models of any speed.
 func TestPrefillSpeedIsEstimatedDespiteQueueing(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/src/exchange/waitqueue.go
+++ b/src/exchange/waitqueue.go
@@ -37,7 +37,7 @@
 func newWaitQueues() *waitQueues { return &waitQueues{queues: map[queueKey][]*waiter{}} }
 
 // enqueue adds a request to a queue of at most limit requests. If the queue is full, a request that
-// sorts before the last one evicts it; otherwise enqueue returns nil.
+// sorts before the last one evicts it; any other request is not added, and enqueue returns nil.
 //
 // Requests are ordered by priority. Within a priority, every account's first request comes before
 // any account's second, so that the busiest account cannot occupy the whole queue (start-time fair
@@ -91,7 +91,7 @@
 	}
 }
 
-// remove takes a request out of its queue and signals the next one.
+// remove takes a request out of its queue and signals the one that is then first.
 func (l *waitQueues) remove(key queueKey, w *waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/exchange/waitqueue_test.go
+++ b/src/exchange/waitqueue_test.go
@@ -37,7 +37,8 @@
 	is.Equal(l.waiting.Load(), int64(0))
 }
 
-// TestFullQueueEvictsLessUrgentRequest: other requests are not admitted to a full queue.
+// TestFullQueueEvictsLessUrgentRequest: a more urgent request evicts the last one of a full queue.
+// All others are not admitted.
 func TestFullQueueEvictsLessUrgentRequest(t *testing.T) {
 	is := is.New(t)
 	l, of := newWaitQueues(), queueKey{service: "s"}
