--- a/src/admission/admission_test.go
+++ b/src/admission/admission_test.go
@@ -42,8 +42,8 @@
 	n := &testCluster{now: time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC), version: 7, hasMajority: true, leaderReachable: true, nodeReachable: true}
 	n.account = catalog.Account{Name: "a", Limit: catalog.Limit{Unit: catalog.Requests, Rate: 10, Burst: 10}}
 	clock := func() time.Time { return n.now }
-	terms := quota.NewTerms(8*time.Second, 0.1, 0)
-	n.leader = NewGranter(GranterOptions{Node: "l", Terms: terms, Now: clock,
+	terms := quota.NewParameters(8*time.Second, 0.1, 0)
+	n.leader = NewGranter(GranterOptions{Node: "l", Parameters: terms, Now: clock,
 		Leadership: func() Leadership {
 			return Leadership{Self: n.hasMajority, Version: n.version, Term: 1, Members: []string{"l", "n"}}
 		},
@@ -53,8 +53,8 @@
 		Record: func(context.Context, string, float64) error { return n.recordError },
 		Leader: Leader{Lease: func(_ context.Context, r wire.LeaseRequest) (wire.LeaseReply, error) { return n.leader.Lease(r), nil }},
 	})
-	n.node = NewGranter(GranterOptions{Node: "n", Terms: terms, Now: clock, Leader: Leader{Lease: n.lease, Draw: n.draw}})
-	n.gate = NewGate(GateOptions{Ask: n.ask, Trust: trustTime, Life: terms.Life, Now: clock, Sleep: func(_ context.Context, d time.Duration) bool {
+	n.node = NewGranter(GranterOptions{Node: "n", Parameters: terms, Now: clock, Leader: Leader{Lease: n.lease, Reserve: n.draw}})
+	n.gate = NewGate(GateOptions{Request: n.ask, Trust: trustTime, GrantTTL: terms.GrantTTL, Now: clock, Sleep: func(_ context.Context, d time.Duration) bool {
 		n.now = n.now.Add(d)
 		if n.onSleep != nil {
 			n.onSleep()
@@ -73,11 +73,11 @@
 	return reply, nil
 }
 
-func (n *testCluster) draw(_ context.Context, r wire.DrawRequest) (wire.DrawReply, error) {
+func (n *testCluster) draw(_ context.Context, r wire.ReserveRequest) (wire.ReserveReply, error) {
 	if !n.leaderReachable {
-		return wire.DrawReply{}, errDisconnected
+		return wire.ReserveReply{}, errDisconnected
 	}
-	return n.leader.Draw(context.Background(), r), nil
+	return n.leader.Reserve(context.Background(), r), nil
 }
 
 func (n *testCluster) ask(ctx context.Context, r wire.AdmitRequest) (wire.AdmitReply, error) {
@@ -256,7 +256,7 @@
 	n := newTestCluster()
 	n.run(time.Second)
 	n.leaderReachable = false
-	n.node.holder = quota.NewHolder("n", 2, n.node.options.Terms) // it has no share
+	n.node.holder = quota.NewHolder("n", 2, n.node.options.Parameters) // it has no share
 	began := n.now
 	n.onSleep = func() { n.leaderReachable = n.now.Sub(began) > electionWait/2 }
 	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Granted)
--- a/src/admission/gate.go
+++ b/src/admission/gate.go
@@ -51,14 +51,14 @@
 
 // GateOptions configure a gate.
 type GateOptions struct {
-	Ask AskFunc
+	Request AskFunc
 	// Trust is how long after the configuration was known to be the newest requests with a key are
 	// served, 0 for no limit.
 	Trust time.Duration
-	// Life is how long a grant may be spent.
-	Life time.Duration
-	Ring *event.Ring
-	Now  func() time.Time
+	// GrantTTL is how long a grant may be spent.
+	GrantTTL time.Duration
+	Ring     *event.Ring
+	Now      func() time.Time
 	// Sleep waits for d; it reports false if the context ended first.
 	Sleep func(ctx context.Context, d time.Duration) bool
 }
@@ -157,7 +157,7 @@
 	if g.unreachable(sentAt) {
 		return wire.AdmitReply{}, errUnreachable
 	}
-	reply, err := g.options.Ask(ctx, request)
+	reply, err := g.options.Request(ctx, request)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
@@ -264,7 +264,7 @@
 	}
 	g.clearUnsure(account.Name)
 	if reply.Admission == wire.Granted {
-		return Verdict{Admission: wire.Granted, Until: now.Add(g.options.Life)}
+		return Verdict{Admission: wire.Granted, Until: now.Add(g.options.GrantTTL)}
 	}
 	wait := min(time.Duration(reply.WaitMS)*time.Millisecond, maxRetryAfter)
 	g.mu.Lock()
--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -43,18 +43,18 @@
 
 // Leader are the calls to the leading control node, which may be this one.
 type Leader struct {
-	Lease func(ctx context.Context, request wire.LeaseRequest) (wire.LeaseReply, error)
-	Draw  func(ctx context.Context, request wire.DrawRequest) (wire.DrawReply, error)
+	Lease   func(ctx context.Context, request wire.LeaseRequest) (wire.LeaseReply, error)
+	Reserve func(ctx context.Context, request wire.ReserveRequest) (wire.ReserveReply, error)
 }
 
 // GranterOptions configure a granter.
 type GranterOptions struct {
-	// Node is the name of the control node; Life differs after each restart.
-	Node       string
-	Life       uint64
-	Terms      quota.Terms
-	Leader     Leader
-	Leadership func() Leadership
+	// Node is the name of the control node; Incarnation differs after each restart.
+	Node        string
+	Incarnation uint64
+	Parameters  quota.Parameters
+	Leader      Leader
+	Leadership  func() Leadership
 	// Record records an account's extension on a majority of disks.
 	Record func(ctx context.Context, account string, units float64) error
 	// Table returns the newest configuration that the node has applied, nil if there is none.
@@ -82,7 +82,7 @@
 
 // NewGranter returns a granter without shares.
 func NewGranter(options GranterOptions) *Granter {
-	return &Granter{options: options, holder: quota.NewHolder(options.Node, options.Life, options.Terms)}
+	return &Granter{options: options, holder: quota.NewHolder(options.Node, options.Incarnation, options.Parameters)}
 }
 
 // Run reports to the leader until the context ends. There is one report at a time, so that the
@@ -162,7 +162,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	report := g.holder.Report(now)
-	return wire.LeaseRequest{Node: report.Holder, Life: report.Life, Sequence: report.Sequence, Shares: toWire(report.Shares)}
+	return wire.LeaseRequest{Node: report.Holder, Incarnation: report.Incarnation, Sequence: report.Sequence, Shares: toWire(report.Shares)}
 }
 
 // Admit answers a gateway.
@@ -194,7 +194,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
-	reply, err := g.options.Leader.Draw(ctx, wire.DrawRequest(request))
+	reply, err := g.options.Leader.Reserve(ctx, wire.ReserveRequest(request))
 	if err != nil {
 		return wire.Unsure, 0
 	}
@@ -210,22 +210,22 @@
 	now := g.options.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	report := quota.Report{Holder: request.Node, Life: request.Life, Sequence: request.Sequence, Shares: fromWire(request.Shares)}
+	report := quota.Report{Holder: request.Node, Incarnation: request.Incarnation, Sequence: request.Sequence, Shares: fromWire(request.Shares)}
 	allocator := g.allocatorFor(now, &lead)
 	shares := allocator.Report(now, report, limitLookup(table))
 	usage, complete := allocator.Usage(now)
 	return wire.LeaseReply{Known: true, Version: lead.Version, Shares: toWire(shares), Usage: usageToWire(usage), Complete: complete}
 }
 
-// Draw answers a request for units that are not leased, if this node leads.
-func (g *Granter) Draw(ctx context.Context, request wire.DrawRequest) wire.DrawReply {
+// Reserve answers a request for units that are not leased, if this node leads.
+func (g *Granter) Reserve(ctx context.Context, request wire.ReserveRequest) wire.ReserveReply {
 	lead, table := g.leadingTable()
 	if table == nil {
-		return wire.DrawReply{}
+		return wire.ReserveReply{}
 	}
 	limit, limited := limitLookup(table)(request.Account)
 	if !limited {
-		return wire.DrawReply{Admission: wire.Granted}
+		return wire.ReserveReply{Admission: wire.Granted}
 	}
 	answer := g.takeUnits(&lead, request, limit)
 	if answer.Record > 0 {
@@ -233,14 +233,14 @@
 	}
 	switch {
 	case answer.Taken:
-		return wire.DrawReply{Admission: wire.Granted}
+		return wire.ReserveReply{Admission: wire.Granted}
 	case answer.Record > 0:
-		return wire.DrawReply{}
+		return wire.ReserveReply{}
 	}
-	return wire.DrawReply{Admission: wire.Spent, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
+	return wire.ReserveReply{Admission: wire.Spent, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
 }
 
-func (g *Granter) takeUnits(lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.TakeResult {
+func (g *Granter) takeUnits(lead *Leadership, request wire.ReserveRequest, limit quota.Limit) quota.TakeResult {
 	now := g.options.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -249,7 +249,7 @@
 
 // takeExtension records the extension that the account needs and takes units from it. Callers that
 // waited for another recording may find that it is enough for them.
-func (g *Granter) takeExtension(ctx context.Context, lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.TakeResult {
+func (g *Granter) takeExtension(ctx context.Context, lead *Leadership, request wire.ReserveRequest, limit quota.Limit) quota.TakeResult {
 	g.recordMu.Lock()
 	defer g.recordMu.Unlock()
 	answer := g.takeUnits(lead, request, limit)
@@ -275,7 +275,7 @@
 // allocatorFor returns the allocator of the present term; the lock is held.
 func (g *Granter) allocatorFor(now time.Time, lead *Leadership) *quota.Allocator {
 	if g.allocator == nil || g.term != lead.Term {
-		g.allocator, g.term = quota.NewAllocator(g.options.Terms, now, lead.Members, lead.Extensions, g.priorUsage), lead.Term
+		g.allocator, g.term = quota.NewAllocator(g.options.Parameters, now, lead.Members, lead.Extensions, g.priorUsage), lead.Term
 	}
 	return g.allocator
 }
@@ -326,9 +326,9 @@
 	return all
 }
 
-// Used returns the demand of each account at this node, in units a second.
-func (g *Granter) Used() map[string]float64 {
+// DemandRates returns the demand of each account at this node, in units a second.
+func (g *Granter) DemandRates() map[string]float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.holder.Used(g.options.Now())
+	return g.holder.DemandRates(g.options.Now())
 }
--- a/src/cli/quarantine.go
+++ b/src/cli/quarantine.go
@@ -53,6 +53,6 @@
 	fmt.Fprintln(w, "CONTENT\tENDS\tLAST\tBACKEND SERVERS")
 	for _, entry := range quarantined.Entries {
 		last := (time.Duration(entry.AgeMS) * time.Millisecond).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\n", entry.Digest, len(entry.Ends), last, strings.Join(entry.Ends, " "))
+		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\n", entry.Digest, len(entry.Failures), last, strings.Join(entry.Failures, " "))
 	}
 }
--- a/src/dispatch/dispatcher.go
+++ b/src/dispatch/dispatcher.go
@@ -15,21 +15,21 @@
 	networkMargin = 10 * time.Millisecond
 )
 
-// Ask is a request for an assignment.
-type Ask struct {
+// Request is a request for an assignment.
+type Request struct {
 	// Account is the client account, "" for none; lower values of Priority are more urgent.
 	Account  string
 	Priority int
-	// Within is the time left until the request should be answered.
-	Within time.Duration
+	// TimeLeft is the time left until the request should be answered.
+	TimeLeft time.Duration
 	// Tried are the replicas that it must not be assigned to.
 	Tried []string
-	// Assign is called once, with the assignment or the refusal; it must not block.
-	Assign func(Place)
+	// OnResult is called once, with the assignment or the refusal; it must not block.
+	OnResult func(Assignment)
 }
 
-// Place is the result of an Ask.
-type Place struct {
+// Assignment is the result of a Request.
+type Assignment struct {
 	// Ticket identifies the assignment until the request has ended, 0 for a refusal.
 	Ticket uint64
 	// Replica is where the request may be sent, "" for a refusal.
@@ -42,7 +42,7 @@
 type Dispatcher struct {
 	replicas    map[string]*replica
 	queue       []*queuedRequest
-	assignments map[uint64]assignment
+	assignments map[uint64]runningRequest
 	lastTicket  uint64
 	// running is the number of running requests by account.
 	running map[string]int
@@ -53,13 +53,13 @@
 
 // queuedRequest is a request in the queue.
 type queuedRequest struct {
-	ask Ask
+	request Request
 	// latestStart is when the request has to start to be in time.
 	latestStart time.Time
 }
 
-// assignment is a running request.
-type assignment struct {
+// runningRequest is a running request.
+type runningRequest struct {
 	replica string
 	account string
 	expires time.Time
@@ -67,7 +67,7 @@
 
 // New returns a dispatcher without replicas.
 func New() *Dispatcher {
-	return &Dispatcher{replicas: map[string]*replica{}, assignments: map[uint64]assignment{}, running: map[string]int{}}
+	return &Dispatcher{replicas: map[string]*replica{}, assignments: map[uint64]runningRequest{}, running: map[string]int{}}
 }
 
 // Set adds a replica or changes its slots.
@@ -119,28 +119,28 @@
 
 // Submit processes a request. It is assigned at once if there is a free slot, queued if one is
 // expected in time, and refused at once otherwise.
-func (d *Dispatcher) Submit(now time.Time, ask Ask) {
+func (d *Dispatcher) Submit(now time.Time, request Request) {
 	d.Expire(now)
-	latestStart := now.Add(ask.Within - d.duration() - networkMargin)
-	if r := d.bestReplica(now, ask.Tried); r != nil && len(d.queue) == 0 {
-		d.assignTo(now, r, &ask)
+	latestStart := now.Add(request.TimeLeft - d.duration() - networkMargin)
+	if r := d.bestReplica(now, request.Tried); r != nil && len(d.queue) == 0 {
+		d.assignTo(now, r, &request)
 		return
 	}
 	timePerRequest := d.timePerRequest(now)
-	expected := time.Duration(d.queuedBefore(&ask)+1) * timePerRequest
+	expected := time.Duration(d.queuedBefore(&request)+1) * timePerRequest
 	if timePerRequest == never || now.Add(expected).After(latestStart) {
-		ask.Assign(Place{RetryAfter: d.noteRefusal(now, timePerRequest, expected)})
+		request.OnResult(Assignment{RetryAfter: d.noteRefusal(now, timePerRequest, expected)})
 		return
 	}
-	d.queue = append(d.queue, &queuedRequest{ask: ask, latestStart: latestStart})
+	d.queue = append(d.queue, &queuedRequest{request: request, latestStart: latestStart})
 	d.assign(now)
 }
 
 // queuedBefore returns how many queued requests go before a new one.
-func (d *Dispatcher) queuedBefore(ask *Ask) int {
+func (d *Dispatcher) queuedBefore(request *Request) int {
 	count := 0
 	for _, w := range d.queue {
-		if !d.precedes(ask, &w.ask) {
+		if !d.precedes(request, &w.request) {
 			count++
 		}
 	}
@@ -173,12 +173,12 @@
 }
 
 // assignTo assigns a request to a replica.
-func (d *Dispatcher) assignTo(now time.Time, r *replica, ask *Ask) {
+func (d *Dispatcher) assignTo(now time.Time, r *replica, request *Request) {
 	d.lastTicket++
-	d.assignments[d.lastTicket] = assignment{replica: r.id, account: ask.Account, expires: now.Add(assignmentTTL)}
+	d.assignments[d.lastTicket] = runningRequest{replica: r.id, account: request.Account, expires: now.Add(assignmentTTL)}
 	r.running++
-	d.running[ask.Account]++
-	ask.Assign(Place{Ticket: d.lastTicket, Replica: r.id})
+	d.running[request.Account]++
+	request.OnResult(Assignment{Ticket: d.lastTicket, Replica: r.id})
 }
 
 // assign assigns queued requests to free slots and refuses those that can no longer be in time.
@@ -191,7 +191,7 @@
 		}
 		w := d.queue[nextIndex]
 		d.queue = slices.Delete(d.queue, nextIndex, nextIndex+1)
-		d.assignTo(now, d.bestReplica(now, w.ask.Tried), &w.ask)
+		d.assignTo(now, d.bestReplica(now, w.request.Tried), &w.request)
 	}
 }
 
@@ -202,7 +202,7 @@
 			return false
 		}
 		timePerRequest := d.timePerRequest(now)
-		w.ask.Assign(Place{RetryAfter: d.noteRefusal(now, timePerRequest, timePerRequest)})
+		w.request.OnResult(Assignment{RetryAfter: d.noteRefusal(now, timePerRequest, timePerRequest)})
 		return true
 	})
 }
@@ -211,10 +211,10 @@
 func (d *Dispatcher) nextIndex(now time.Time) int {
 	nextIndex := -1
 	for i, w := range d.queue {
-		if d.bestReplica(now, w.ask.Tried) == nil {
+		if d.bestReplica(now, w.request.Tried) == nil {
 			continue
 		}
-		if nextIndex < 0 || d.precedes(&w.ask, &d.queue[nextIndex].ask) {
+		if nextIndex < 0 || d.precedes(&w.request, &d.queue[nextIndex].request) {
 			nextIndex = i
 		}
 	}
@@ -222,7 +222,7 @@
 }
 
 // precedes reports whether a goes before b, which arrived earlier.
-func (d *Dispatcher) precedes(a, b *Ask) bool {
+func (d *Dispatcher) precedes(a, b *Request) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
 	}
@@ -242,7 +242,7 @@
 	d.assign(now)
 }
 
-func (d *Dispatcher) finish(id uint64, t assignment) {
+func (d *Dispatcher) finish(id uint64, t runningRequest) {
 	delete(d.assignments, id)
 	if r := d.replicas[t.replica]; r != nil {
 		// A replica that was removed and added again has started to count from 0.
--- a/src/dispatch/dispatcher_test.go
+++ b/src/dispatch/dispatcher_test.go
@@ -21,9 +21,9 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 // submit submits a request and returns where its result will be stored.
-func submit(d *Dispatcher, now time.Time, account string, within time.Duration) *Place {
-	got := &Place{}
-	d.Submit(now, Ask{Account: account, Within: within, Assign: func(p Place) { *got = p }})
+func submit(d *Dispatcher, now time.Time, account string, within time.Duration) *Assignment {
+	got := &Assignment{}
+	d.Submit(now, Request{Account: account, TimeLeft: within, OnResult: func(p Assignment) { *got = p }})
 	return got
 }
 
@@ -38,7 +38,7 @@
 	}
 	is.Equal(counts, map[string]int{"x": 3, "y": 3}) // one more than its slots for each
 	queued := submit(d, noon, "", 300*time.Millisecond)
-	is.Equal(*queued, Place{})
+	is.Equal(*queued, Assignment{})
 	refused := submit(d, noon, "", 20*time.Millisecond)
 	is.Equal(refused.Replica, "")
 	is.True(refused.RetryAfter > 0)
@@ -54,7 +54,7 @@
 	submit(d, noon, "", time.Second)
 	waits := submit(d, noon, "", 200*time.Millisecond)
 	d.Expire(noon.Add(100 * time.Millisecond))
-	is.Equal(*waits, Place{})
+	is.Equal(*waits, Assignment{})
 	d.Expire(noon.Add(150 * time.Millisecond))
 	is.True(waits.RetryAfter > 0)
 	is.Equal(d.Queued(), 0)
@@ -127,10 +127,10 @@
 			d.Set(now, id, n)
 		}
 		running := map[string]int{}
-		var active []Place
+		var active []Assignment
 		answered := 0
 		submitted := 0
-		assign := func(p Place) {
+		assign := func(p Assignment) {
 			answered++
 			if p.Replica == "" {
 				return
@@ -152,7 +152,7 @@
 				continue
 			}
 			submitted++
-			d.Submit(now, Ask{Account: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "account")), Within: 200 * time.Millisecond, Assign: assign})
+			d.Submit(now, Request{Account: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "account")), TimeLeft: 200 * time.Millisecond, OnResult: assign})
 		}
 		if submitted != answered+d.Queued() {
 			t.Fatalf("%d asked, %d answered, %d wait", submitted, answered, d.Queued())
@@ -220,7 +220,7 @@
 	got := s.results[account]
 	got.submitted++
 	s.at(began.Add(simTarget), func(now time.Time) { s.d.Expire(now) })
-	s.d.Submit(began, Ask{Account: account, Within: simTarget, Assign: func(p Place) {
+	s.d.Submit(began, Request{Account: account, TimeLeft: simTarget, OnResult: func(p Assignment) {
 		if p.Replica == "" {
 			got.refused++
 			return
@@ -230,7 +230,7 @@
 }
 
 // startWork starts a request at its replica, behind those already there.
-func (s *simulation) startWork(account string, began time.Time, p Place) {
+func (s *simulation) startWork(account string, began time.Time, p Assignment) {
 	const took = 60 * time.Millisecond
 	now := s.currentTime
 	busy := s.d.replicas[p.Replica].running - s.d.replicas[p.Replica].slots
@@ -263,25 +263,25 @@
 // drain.
 func TestNoPlaceIsAssignedInADrainedZone(t *testing.T) {
 	is := is.New(t)
-	desk := NewDesk(time.Now)
+	dispatchers := NewDispatchers(time.Now)
 	list := func(id, zone string) registry.Changes {
 		return registry.Changes{Entries: []registry.Entry{{Record: registry.Record{ID: id, Service: "s", Zone: zone, Slots: 4}}}}
 	}
 	place := func() string {
-		got, err := desk.Ask(t.Context(), "s", Ask{Within: time.Second})
+		got, err := dispatchers.Request(t.Context(), "s", Request{TimeLeft: time.Second})
 		is.NoErr(err)
-		desk.Release("s", got.Ticket, Answered, time.Millisecond)
+		dispatchers.Release("s", got.Ticket, Answered, time.Millisecond)
 		return got.Replica
 	}
-	desk.SetReplicas(list("a", "x"))
+	dispatchers.SetReplicas(list("a", "x"))
 	is.Equal(place(), "a")
-	desk.SetDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"x"}})
+	dispatchers.SetDrains(&wire.ZoneDrains{Revision: 1, Zones: []string{"x"}})
 	is.Equal(place(), "")
-	desk.SetReplicas(list("b", "x"))
+	dispatchers.SetReplicas(list("b", "x"))
 	is.Equal(place(), "")
-	desk.SetReplicas(list("c", "y"))
+	dispatchers.SetReplicas(list("c", "y"))
 	is.Equal(place(), "c")
-	desk.SetDrains(&wire.ZoneDrains{Revision: 2})
-	desk.SetReplicas(registry.Changes{Removed: []string{"b", "c"}})
+	dispatchers.SetDrains(&wire.ZoneDrains{Revision: 2})
+	dispatchers.SetReplicas(registry.Changes{Removed: []string{"b", "c"}})
 	is.Equal(place(), "a")
 }
--- a/src/dispatch/desk.go
+++ b/src/dispatch/dispatchers.go
@@ -9,8 +9,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Desk keeps a dispatcher for each requested service; it is safe for concurrent use.
-type Desk struct {
+// Dispatchers keeps a dispatcher for each requested service; it is safe for concurrent use.
+type Dispatchers struct {
 	now func() time.Time
 
 	mu sync.Mutex
@@ -24,13 +24,13 @@
 	dispatchers map[string]*Dispatcher
 }
 
-// NewDesk returns a desk without replicas.
-func NewDesk(now func() time.Time) *Desk {
-	return &Desk{now: now, listed: map[string]registry.Record{}, replicas: map[string]map[string]int{}, serviceOf: map[string]string{}, dispatchers: map[string]*Dispatcher{}}
+// NewDispatchers returns Dispatchers without replicas.
+func NewDispatchers(now func() time.Time) *Dispatchers {
+	return &Dispatchers{now: now, listed: map[string]registry.Record{}, replicas: map[string]map[string]int{}, serviceOf: map[string]string{}, dispatchers: map[string]*Dispatcher{}}
 }
 
 // SetReplicas applies changes of the replicas.
-func (d *Desk) SetReplicas(changes registry.Changes) {
+func (d *Dispatchers) SetReplicas(changes registry.Changes) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -50,7 +50,7 @@
 }
 
 // SetDrains sets the zones whose replicas get no new requests.
-func (d *Desk) SetDrains(drains *wire.ZoneDrains) {
+func (d *Dispatchers) SetDrains(drains *wire.ZoneDrains) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.drains = drains
@@ -62,7 +62,7 @@
 
 // refreshReplica adds or removes a replica according to its record and the drained zones; the lock
 // is held.
-func (d *Desk) refreshReplica(now time.Time, id string) {
+func (d *Dispatchers) refreshReplica(now time.Time, id string) {
 	record, listed := d.listed[id]
 	if listed && !d.drains.Drained(record.Zone) {
 		d.addReplica(now, &record)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (d *Desk) addReplica(now time.Time, record *registry.Record) {
+func (d *Dispatchers) addReplica(now time.Time, record *registry.Record) {
 	if d.serviceOf[record.ID] != record.Service {
 		d.removeReplica(record.ID)
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (d *Desk) removeReplica(id string) {
+func (d *Dispatchers) removeReplica(id string) {
 	service, known := d.serviceOf[id]
 	if !known {
 		return
@@ -98,7 +98,7 @@
 }
 
 // dispatcher returns the dispatcher of a service; the lock is held.
-func (d *Desk) dispatcher(now time.Time, service string) *Dispatcher {
+func (d *Dispatchers) dispatcher(now time.Time, service string) *Dispatcher {
 	dispatcher := d.dispatchers[service]
 	if dispatcher == nil {
 		dispatcher = New()
@@ -110,32 +110,32 @@
 	return dispatcher
 }
 
-// Ask waits until a request of a service is assigned or refused.
-func (d *Desk) Ask(ctx context.Context, service string, ask Ask) (Place, error) {
-	places := make(chan Place, 1)
-	ask.Assign = func(place Place) { places <- place }
+// Request waits until a request of a service is assigned or refused.
+func (d *Dispatchers) Request(ctx context.Context, service string, request Request) (Assignment, error) {
+	results := make(chan Assignment, 1)
+	request.OnResult = func(assignment Assignment) { results <- assignment }
 	d.mu.Lock()
 	now := d.now()
-	d.dispatcher(now, service).Submit(now, ask)
+	d.dispatcher(now, service).Submit(now, request)
 	d.mu.Unlock()
-	timer := time.NewTimer(max(ask.Within, 0))
+	timer := time.NewTimer(max(request.TimeLeft, 0))
 	defer timer.Stop()
 	for {
 		select {
-		case place := <-places:
-			return place, nil
+		case assignment := <-results:
+			return assignment, nil
 		case <-timer.C:
 			d.expire(service)
 			timer.Reset(networkMargin)
 		case <-ctx.Done():
-			go d.releaseAbandoned(service, places)
-			return Place{}, ctx.Err()
+			go d.releaseAbandoned(service, results)
+			return Assignment{}, ctx.Err()
 		}
 	}
 }
 
 // expire expires the assignments and queued requests of a service, in case nothing else does.
-func (d *Desk) expire(service string) {
+func (d *Dispatchers) expire(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -143,11 +143,11 @@
 }
 
 // releaseAbandoned releases the assignment of a request that is no longer waited for.
-func (d *Desk) releaseAbandoned(service string, places <-chan Place) {
+func (d *Dispatchers) releaseAbandoned(service string, results <-chan Assignment) {
 	for {
 		select {
-		case place := <-places:
-			d.Release(service, place.Ticket, Full, 0)
+		case assignment := <-results:
+			d.Release(service, assignment.Ticket, Full, 0)
 			return
 		case <-time.After(assignmentTTL):
 			d.expire(service)
@@ -156,7 +156,7 @@
 }
 
 // Release records how an assigned request ended.
-func (d *Desk) Release(service string, ticket uint64, outcome Outcome, took time.Duration) {
+func (d *Dispatchers) Release(service string, ticket uint64, outcome Outcome, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if dispatcher := d.dispatchers[service]; dispatcher != nil {
--- a/src/exchange/attempt.go
+++ b/src/exchange/attempt.go
@@ -235,12 +235,12 @@
 		a.reuseConn(h.options.Now())
 	}
 	c.reason += "; " + peer.ID() + " did not run it: " + a.response.Status + a.reply.describeRequests()
-	if a.reply.Elsewhere && c.facts.Model != "" {
+	if a.reply.Misdirected && c.facts.Model != "" {
 		peer.noteMissingCopy(h.options.Now(), c.facts.Model, c.facts.Adapter)
 	}
 	// A replica that asked for a backoff has not failed. It is avoided for that time and then used
 	// as before.
-	if !a.reply.Elsewhere && a.reply.Backoff == 0 {
+	if !a.reply.Misdirected && a.reply.Backoff == 0 {
 		peer.failed(h.options.Now(), false)
 	}
 	h.options.Ring.Add(event.Event{Kind: event.RequestRetried, Request: c.facts.ID, Host: peer.ID(), Model: c.facts.Model, Reason: c.reason})
--- a/src/exchange/backoff_test.go
+++ b/src/exchange/backoff_test.go
@@ -127,7 +127,7 @@
 	is.True(f.admit(peer))
 	f.applyReply(peer, &Reply{NotRun: true})
 	is.True(!f.admit(peer))
-	f.applyReply(peer, &Reply{NotRun: true, Elsewhere: true}) // it accepted the request but lacks the model
+	f.applyReply(peer, &Reply{NotRun: true, Misdirected: true}) // it accepted the request but lacks the model
 	is.True(f.admit(peer))
 	is.True(f.admit(peer))
 }
@@ -152,8 +152,8 @@
 	now := noon
 	f := NewFleet("z", Dial, nil, func() time.Time { return now }, func() time.Time { return now })
 	entry := func(born int64) registry.Entry {
-		id := registry.Incarnation{Name: "i", Born: born}.ID()
-		return registry.Entry{Record: registry.Record{ID: id, Name: "i", Born: born, Service: "s", Address: "192.0.2.1:1", Zone: "z", Slots: 4}}
+		id := registry.Incarnation{Name: "i", StartedMS: born}.ID()
+		return registry.Entry{Record: registry.Record{ID: id, Name: "i", StartedMS: born, Service: "s", Address: "192.0.2.1:1", Zone: "z", Slots: 4}}
 	}
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{entry(1)}})
 	earlier := f.Peer("i@1")
@@ -296,8 +296,8 @@
 func (w *backoffWorld) restart(i int) {
 	w.now = w.now.Add(time.Millisecond)
 	born := w.now.UnixMilli()
-	incarnation := registry.Incarnation{Name: fmt.Sprint("i", i), Born: born}
-	record := registry.Record{ID: incarnation.ID(), Name: incarnation.Name, Born: born, Service: "s", Address: fmt.Sprint("192.0.2.1:", i+1), Zone: "z", Slots: 4}
+	incarnation := registry.Incarnation{Name: fmt.Sprint("i", i), StartedMS: born}
+	record := registry.Record{ID: incarnation.ID(), Name: incarnation.Name, StartedMS: born, Service: "s", Address: fmt.Sprint("192.0.2.1:", i+1), Zone: "z", Slots: 4}
 	start := &backoffIncarnation{entry: registry.Entry{Record: record}, askedAt: map[int]time.Time{}, until: map[int]time.Time{}, sentWithin: map[int]int{}, announcedAt: map[int]time.Time{}}
 	before := w.incarnations[i]
 	w.incarnations[i] = start
--- a/src/exchange/cold_test.go
+++ b/src/exchange/cold_test.go
@@ -31,7 +31,7 @@
 	r.Target = 2 * time.Second
 	b := newBench(t, r, append(others, cold)...)
 	b.stopClock()
-	b.handler.options.Permits.Ask = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) { return ask(request) }
+	b.handler.options.Permits.Request = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) { return ask(request) }
 	return b, cold
 }
 
@@ -41,7 +41,7 @@
 	b, cold := coldBench(t, func(request wire.PermitRequest) (wire.PermitReply, error) {
 		asked++
 		is.Equal(request.Replica, "x")
-		is.Equal(request.WithinMS, ratelimit.Ahead.Milliseconds())
+		is.Equal(request.WithinMS, ratelimit.Horizon.Milliseconds())
 		return wire.PermitReply{Known: true, Granted: true}, nil
 	})
 	for i := range 3 {
@@ -70,9 +70,9 @@
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	is.True(wait >= 30)
-	choice := b.fleet.Pick(time.Now(), Requirements{Service: "s", MaxPermitWait: ratelimit.Ahead}, nil)
+	choice := b.fleet.Pick(time.Now(), Requirements{Service: "s", MaxPermitWait: ratelimit.Horizon}, nil)
 	is.Equal(choice.Verdict, NotAccepting) // it does not wait for a permit that comes too late
-	is.True(choice.AcceptsIn > ratelimit.Ahead)
+	is.True(choice.AcceptsIn > ratelimit.Horizon)
 	is.Equal(cold.count(), 0)
 }
 
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	var slept atomic.Int64
 	b, cold := coldBench(t, func(wire.PermitRequest) (wire.PermitReply, error) {
-		slept.Add(int64(ratelimit.Life))
+		slept.Add(int64(ratelimit.PermitTTL))
 		return wire.PermitReply{Known: true, Granted: true}, nil
 	})
 	clock := b.fleet.bootNow
--- a/src/exchange/crash_test.go
+++ b/src/exchange/crash_test.go
@@ -109,7 +109,7 @@
 	fleet := NewFleet("z", nil, nil, time.Now, time.Now)
 	var ended []string
 	fleet.setCrashHandler(func(_ time.Time, life, _ string) { ended = append(ended, life) })
-	record := registry.Record{ID: "a@7", Name: "a", Born: 7, Service: "s", Address: "192.0.2.1:1", Zone: "z"}
+	record := registry.Record{ID: "a@7", Name: "a", StartedMS: 7, Service: "s", Address: "192.0.2.1:1", Zone: "z"}
 	fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: record}}})
 	record.Sequence = 5
 	fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: record}}})
--- a/src/exchange/facts.go
+++ b/src/exchange/facts.go
@@ -63,10 +63,10 @@
 	ID string
 	// NotRun is set if the replica states that it has not run the request and will not.
 	NotRun bool
-	// Elsewhere is set if the request reached another replica than the one addressed, or one that
+	// Misdirected is set if the request reached another replica than the one addressed, or one that
 	// does not hold the model.
-	Elsewhere bool
-	Load      Load
+	Misdirected bool
+	Load        Load
 	// Backoff is how long the replica wants no more requests from this gateway, 0 if it did not ask
 	// for a backoff. BackoffFault describes a backoff that could not be parsed.
 	Backoff      time.Duration
@@ -107,7 +107,7 @@
 
 // rejected reports whether the replica rejected the request for another reason than the models that
 // it holds.
-func (r *Reply) rejected() bool { return r.NotRun && !r.Elsewhere }
+func (r *Reply) rejected() bool { return r.NotRun && !r.Misdirected }
 
 // describeRequests returns what the replica asked for in its rejection, for a log line.
 func (r *Reply) describeRequests() string {
--- a/src/exchange/fake_test.go
+++ b/src/exchange/fake_test.go
@@ -74,7 +74,7 @@
 			return Reply{
 				Cold:  time.Duration(cold) * time.Millisecond,
 				Limit: RateLimit{Named: err == nil, PerSecond: limit},
-				ID:    header.Get(testID), NotRun: header.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest, Elsewhere: status == http.StatusMisdirectedRequest,
+				ID:    header.Get(testID), NotRun: header.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest, Misdirected: status == http.StatusMisdirectedRequest,
 				Backoff: time.Duration(ms) * time.Millisecond, Leaving: header.Get(testLeaving) != "",
 			}
 		},
@@ -218,8 +218,8 @@
 	return true
 }
 
-func newTestGuard() *quarantine.Guard {
-	return quarantine.NewGuard(quarantine.NewTable(func(quarantine.Change) {}))
+func newTestTracker() *quarantine.Tracker {
+	return quarantine.NewTracker(quarantine.NewTable(func(quarantine.Change) {}))
 }
 
 // bench is a handler in front of fake replicas.
@@ -240,8 +240,8 @@
 	b.fleet = NewFleet("z", Dial, nil, time.Now, time.Now)
 	b.handler = NewHandler(Options{
 		Codec: testCodec(), Fleet: b.fleet, Budget: BudgetLimits{Ratio: 1, Extra: 100, Window: 10 * time.Second},
-		Guard:  newTestGuard(),
-		Demand: b.demand, Metrics: NewMetrics(metric.New("test")), Now: time.Now,
+		Tracker: newTestTracker(),
+		Demand:  b.demand, Metrics: NewMetrics(metric.New("test")), Now: time.Now,
 	})
 	b.handler.SetTable(catalog.NewTable(catalog.Document{Version: 1, Routes: []catalog.Route{r}, Services: testServices()}))
 	b.register(replicas...)
@@ -253,7 +253,7 @@
 func (b *bench) register(replicas ...*fakeReplica) {
 	var entries []registry.Entry
 	for _, f := range replicas {
-		entries = append(entries, registry.Entry{Record: registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: f.zone, ColdMS: f.coldMS, Slots: 4, Models: []registry.Held{{Name: "m"}}}})
+		entries = append(entries, registry.Entry{Record: registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: f.zone, ColdMS: f.coldMS, Slots: 4, Models: []registry.LoadedModel{{Name: "m"}}}})
 	}
 	b.fleet.SetReplicas(registry.Changes{Entries: entries})
 }
--- a/src/exchange/handler.go
+++ b/src/exchange/handler.go
@@ -50,12 +50,12 @@
 	// Admission admits the requests of client accounts. It is used only if the configuration
 	// requires keys.
 	Admission Admission
-	// Places assigns slots of services that have fewer slots than there are gateways.
-	Places Places
+	// Slots assigns slots of services that have fewer slots than there are gateways.
+	Slots Slots
 	// Permits issues permits for requests to cold and rate-limited replicas.
 	Permits Permits
-	// Guard quarantines requests during which replicas crashed.
-	Guard *quarantine.Guard
+	// Tracker quarantines requests during which replicas crashed.
+	Tracker *quarantine.Tracker
 	// Demand counts the requests by model.
 	Demand  *Demand
 	Ring    *event.Ring
@@ -84,12 +84,12 @@
 	waitQueues    *waitQueues
 	retention     retention
 	// localIssuer issues permits if no control node responds.
-	localIssuer *ratelimit.StandIn
+	localIssuer *ratelimit.FallbackIssuer
 }
 
 // NewHandler returns a handler without a configuration.
 func NewHandler(options Options) *Handler {
-	h := &Handler{options: options, budgets: newBudgets(options.Budget), configured: make(chan struct{}), waitQueues: newWaitQueues(), retention: retention{limit: options.RetainBytes}, localIssuer: ratelimit.NewStandIn(rand.Float64)}
+	h := &Handler{options: options, budgets: newBudgets(options.Budget), configured: make(chan struct{}), waitQueues: newWaitQueues(), retention: retention{limit: options.RetainBytes}, localIssuer: ratelimit.NewFallbackIssuer(rand.Float64)}
 	h.gateways.Store(1)
 	h.crashDetector = newCrashDetector(options.Now, h.noteCrash)
 	options.Fleet.setCrashHandler(h.crashDetector.confirm)
--- a/src/exchange/permit.go
+++ b/src/exchange/permit.go
@@ -11,9 +11,9 @@
 // Permits issues the permits that are needed to send requests to replicas with a rate limit over
 // all gateways: cold replicas of services with a cold rate, and replicas that name a limit.
 type Permits struct {
-	// Ask waits for a permit. If it is nil, no permits are issued and such replicas get no
+	// Request waits for a permit. If it is nil, no permits are issued and such replicas get no
 	// requests.
-	Ask func(ctx context.Context, request wire.PermitRequest) (wire.PermitReply, error)
+	Request func(ctx context.Context, request wire.PermitRequest) (wire.PermitReply, error)
 }
 
 const (
@@ -22,7 +22,7 @@
 	permitCostMS = 5.0
 	// permitTimeout limits the wait for the issuer's reply. A permit that arrives later would be
 	// nearly expired.
-	permitTimeout = ratelimit.Life / 2
+	permitTimeout = ratelimit.PermitTTL / 2
 	// maxPermitWaitShare is the share of its target that a request waits for a permit. The issuer
 	// announces the wait in advance, so a request whose wait would be longer does not wait at all.
 	maxPermitWaitShare = 0.5
@@ -67,7 +67,7 @@
 		return -1
 	}
 	deadline := c.startedAt.Add(time.Duration(float64(c.route.Target) * maxPermitWaitShare))
-	return max(min(deadline.Sub(now), ratelimit.Ahead), 0)
+	return max(min(deadline.Sub(now), ratelimit.Horizon), 0)
 }
 
 // permitted reports whether the request may be sent to the chosen replica. If a permit is needed,
@@ -96,7 +96,7 @@
 	}
 	c.permitWait += answer.Wait
 	// The expiry counts from the request for the permit, since the reply may have been delayed.
-	c.sendPermit = sendPermit{peer: peer, until: asked.Add(answer.Wait + ratelimit.Life), limit: answer.State, term: answer.Term, number: answer.Permit}
+	c.sendPermit = sendPermit{peer: peer, until: asked.Add(answer.Wait + ratelimit.PermitTTL), limit: answer.State, term: answer.Term, number: answer.Permit}
 	return c.sendPermit.covers(fleet.bootNow(), peer)
 }
 
@@ -117,26 +117,26 @@
 // requestPermit asks for a permit and applies the issuer's limit of the replica. A negative maxWait
 // only reports the known limit. If no issuer replies, the gateway issues permits from its own share
 // of the rate.
-func (h *Handler) requestPermit(ctx context.Context, peer *Peer, maxWait time.Duration, priority int) ratelimit.Answer {
-	if h.options.Permits.Ask == nil {
-		return ratelimit.Answer{}
+func (h *Handler) requestPermit(ctx context.Context, peer *Peer, maxWait time.Duration, priority int) ratelimit.Reply {
+	if h.options.Permits.Request == nil {
+		return ratelimit.Reply{}
 	}
 	report := peer.sharedLimit.report()
 	request := wire.PermitRequest{
 		Service: peer.service, Replica: peer.ID(), WithinMS: maxWait.Milliseconds(), Priority: priority, Warm: !h.options.Fleet.isCold(peer),
-		Limited: report.word.Limited, PerSecond: report.word.PerSecond, Heard: report.word.Heard, Term: report.word.Term, Permit: report.word.Permit,
+		Limited: report.word.Limited, PerSecond: report.word.PerSecond, FromResponse: report.word.FromResponse, Term: report.word.Term, Permit: report.word.Permit,
 	}
 	if maxWait < 0 {
 		request.WithinMS = -1
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := h.options.Permits.Ask(ctx, request)
+	reply, err := h.options.Permits.Request(ctx, request)
 	if err != nil || !reply.Known || !reply.Limits && report.word.Limited {
 		h.options.Metrics.PermitsLost.Inc(1)
 		return h.issueLocalPermit(peer, maxWait, priority)
 	}
-	answer := ratelimit.Answer{
+	answer := ratelimit.Reply{
 		Known: true, Granted: reply.Granted, Wait: time.Duration(reply.WaitUS) * time.Microsecond,
 		State: ratelimit.State{Limited: reply.Limited, PerSecond: reply.PerSecond}, Term: reply.Term, Version: reply.Version, Permit: reply.Permit,
 	}
@@ -147,13 +147,13 @@
 }
 
 // issueLocalPermit takes a permit from the gateway's own share of the rate.
-func (h *Handler) issueLocalPermit(peer *Peer, maxWait time.Duration, priority int) ratelimit.Answer {
+func (h *Handler) issueLocalPermit(peer *Peer, maxWait time.Duration, priority int) ratelimit.Reply {
 	fleet := h.options.Fleet
-	ask := ratelimit.Ask{Server: peer.ID(), Word: ratelimit.Word{State: peer.sharedLimit.currentLimit()}, Within: maxWait, Priority: priority}
+	request := ratelimit.Request{Server: peer.ID(), LimitReport: ratelimit.LimitReport{State: peer.sharedLimit.currentLimit()}, MaxWait: maxWait, Priority: priority}
 	if fleet.isCold(peer) {
-		ask.Cold = fleet.coldRate(peer.service)
+		request.ColdPerSecond = fleet.coldRate(peer.service)
 	}
-	return h.localIssuer.Take(fleet.bootNow(), ask, ratelimit.GatewayShare(h.Gateways()))
+	return h.localIssuer.Take(fleet.bootNow(), request, ratelimit.GatewayShare(h.Gateways()))
 }
 
 // usePermit reports whether a request may be sent to a replica now, and uses its permit if the
--- a/src/exchange/quarantine.go
+++ b/src/exchange/quarantine.go
@@ -37,11 +37,11 @@
 // since the request has not run and must not be repeated. Retry-After is the remaining time of the
 // quarantine, which is longer than clients usually wait.
 func (c *call) quarantined() bool {
-	guard := c.handler.options.Guard
-	if guard.Empty() {
+	tracker := c.handler.options.Tracker
+	if tracker.Empty() {
 		return false
 	}
-	left, held := guard.Held(c.handler.options.Now(), c.digest())
+	left, held := tracker.Held(c.handler.options.Now(), c.digest())
 	if !held {
 		return false
 	}
@@ -53,10 +53,10 @@
 
 // noteSuccessfulRun records that the request ran without a crash.
 func (c *call) noteSuccessfulRun() {
-	if c.status < http.StatusOK || c.status >= http.StatusMultipleChoices || !c.handler.options.Guard.Remembered(len(c.body)) {
+	if c.status < http.StatusOK || c.status >= http.StatusMultipleChoices || !c.handler.options.Tracker.TracksBody(len(c.body)) {
 		return
 	}
-	c.handler.options.Guard.Ran(c.handler.options.Now(), c.digest())
+	c.handler.options.Tracker.RecordSuccess(c.handler.options.Now(), c.digest())
 }
 
 // noteLostReplica handles an attempt without a complete response. If the connection broke, it waits
@@ -87,7 +87,7 @@
 
 // noteCrash records that a replica has crashed with requests in flight.
 func (h *Handler) noteCrash(now time.Time, replica string, inFlight []quarantine.Digest, evidence string) {
-	suspected := h.options.Guard.Ended(now, replica, inFlight)
+	suspected := h.options.Tracker.AttributeFailure(now, replica, inFlight)
 	h.options.Metrics.Crashes.Inc(1)
 	h.options.Ring.Add(event.Event{Kind: event.ReplicaEnded, Host: replica, Reason: fmt.Sprintf("%s; under way: %s; without a good end of late: %s", evidence, formatDigests(inFlight), formatDigests(suspected))})
 }
--- a/src/exchange/quarantine_test.go
+++ b/src/exchange/quarantine_test.go
@@ -96,8 +96,8 @@
 	b.register(first, second)
 	content := quarantine.Content{Method: "POST", Host: "h.example", Target: "/p/x%2Fy?q=1&q=2", Body: []byte(crashBody)}.Digest()
 	now := time.Now()
-	b.handler.options.Guard.Ended(now, "earlier-1", []quarantine.Digest{content})
-	b.handler.options.Guard.Ended(now, "earlier-2", []quarantine.Digest{content})
+	b.handler.options.Tracker.AttributeFailure(now, "earlier-1", []quarantine.Digest{content})
+	b.handler.options.Tracker.AttributeFailure(now, "earlier-2", []quarantine.Digest{content})
 	result := b.do("POST", "stream", crashBody, testModel+": m", testTokens+": 500")
 	is.True(result.err != nil) // the response is aborted
 	is.Equal(first.count()+second.count(), 1)
@@ -119,10 +119,10 @@
 	}
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
 	is.Equal(other.do("GET", "three", "").status, http.StatusTooManyRequests) // this gateway did not see the content run
-	told, _ := other.handler.options.Guard.OwnSince(now, 0)
-	b.handler.options.Guard.Take(now, told)
-	back, _ := b.handler.options.Guard.OwnSince(now, 0)
-	other.handler.options.Guard.Take(now, back)
+	told, _ := other.handler.options.Tracker.OwnSince(now, 0)
+	b.handler.options.Tracker.MergeFromControl(now, told)
+	back, _ := b.handler.options.Tracker.OwnSince(now, 0)
+	other.handler.options.Tracker.MergeFromControl(now, back)
 	is.Equal(other.do("GET", "four", "").status, http.StatusOK)
 }
 
--- a/src/exchange/residency_test.go
+++ b/src/exchange/residency_test.go
@@ -45,8 +45,8 @@
 	want := Requirements{Service: "s", Model: "m", Residency: catalog.ResidencyOf(&catalog.Route{Regions: []string{"here"}}, nil)}
 	is.True(b.fleet.backup(time.Now(), want, []*Peer{b.fleet.Peer("y")}) == nil)
 	var tried []string
-	b.handler.options.Places = Places{
-		Ask: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
+	b.handler.options.Slots = Slots{
+		Request: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
 			tried = request.Tried
 			return wire.PlaceReply{Known: true, Replica: "x", Ticket: 3}, nil
 		},
@@ -56,7 +56,7 @@
 	b.do("GET", "placed", "")
 	is.Equal(tried, []string{"x"})
 	is.Equal(far.count(), 0)
-	b.handler.options.Places = Places{}
+	b.handler.options.Slots = Slots{}
 	b.setRegions(r, "there")
 	is.Equal(b.do("POST", "abroad", "x").status, http.StatusOK)
 	is.Equal(far.count(), 1)
--- a/src/exchange/restriction_test.go
+++ b/src/exchange/restriction_test.go
@@ -142,12 +142,12 @@
 func assignedToSlot(t *testing.T, how restriction) *fakeReplica {
 	closed := newReplica(t, "x", whole)
 	open := newReplica(t, "y", whole)
-	b := newSlotBench(t, &fakePlaces{err: errors.New("nobody assigns yet")}, closed, open)
+	b := newSlotBench(t, &fakeSlots{err: errors.New("nobody assigns yet")}, closed, open)
 	b.close(closed, how)
 	b.handler.slotAssigner.unavailableUntil.Store(0)
 	unused := make(chan wire.PlaceRelease, 64)
-	b.handler.options.Places = Places{
-		Ask: func(context.Context, wire.PlaceRequest) (wire.PlaceReply, error) {
+	b.handler.options.Slots = Slots{
+		Request: func(context.Context, wire.PlaceRequest) (wire.PlaceReply, error) {
 			return wire.PlaceReply{Known: true, Replica: "x", Ticket: 3}, nil
 		},
 		Release: func(release wire.PlaceRelease) { unused <- release },
@@ -264,7 +264,7 @@
 func (b *bench) restart(f *fakeReplica) {
 	earlier := registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: "z", Slots: 4}
 	later := earlier
-	later.ID, later.Name, later.Born = f.id+"@2", f.id, 2
+	later.ID, later.Name, later.StartedMS = f.id+"@2", f.id, 2
 	b.fleet.SetReplicas(registry.Changes{Entries: []registry.Entry{{Record: later}, {Record: earlier, Replaced: true}}})
 }
 
--- a/src/exchange/sharedlimit.go
+++ b/src/exchange/sharedlimit.go
@@ -28,7 +28,7 @@
 	term, version uint64
 	// unreported is the last statement of a response that no issuer has received yet, nil if there
 	// is none.
-	unreported *ratelimit.Word
+	unreported *ratelimit.LimitReport
 	// reporting is set while a report to the issuer is in progress.
 	reporting bool
 	// fault describes the last limit that could not be parsed.
@@ -47,10 +47,10 @@
 
 // limitReport is a report of a limit to the issuer.
 type limitReport struct {
-	word ratelimit.Word
+	word ratelimit.LimitReport
 	// heard is the statement of a response from which the report was made, nil if it only repeats
 	// the known limit.
-	heard *ratelimit.Word
+	heard *ratelimit.LimitReport
 }
 
 func (t *sharedLimit) currentLimit() ratelimit.State { return t.limitSince().limit }
@@ -78,7 +78,7 @@
 	if !reply.Named && (!t.active.Load() || reply.Fault != "" || !sent.succeeded) {
 		return false
 	}
-	word := &ratelimit.Word{State: ratelimit.State{Limited: reply.Named, PerSecond: reply.PerSecond}, Heard: true, Term: sent.term, Permit: sent.grant}
+	word := &ratelimit.LimitReport{State: ratelimit.State{Limited: reply.Named, PerSecond: reply.PerSecond}, FromResponse: true, Term: sent.term, Permit: sent.grant}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -104,14 +104,14 @@
 	if t.unreported != nil {
 		return limitReport{word: *t.unreported, heard: t.unreported}
 	}
-	return limitReport{word: ratelimit.Word{State: t.limit}}
+	return limitReport{word: ratelimit.LimitReport{State: t.limit}}
 }
 
 // applyIssued applies a limit from the issuer, with its term and version; heard is the statement of
 // a response that the issuer was told, if any. Term 0 stands for a limit that other gateways heard
 // while there was no issuer; it can only lower the limit. applyIssued reports whether the limit
 // changed.
-func (t *sharedLimit) applyIssued(now time.Time, s ratelimit.State, term, version uint64, heard *ratelimit.Word) (changed bool) {
+func (t *sharedLimit) applyIssued(now time.Time, s ratelimit.State, term, version uint64, heard *ratelimit.LimitReport) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term == 0 {
@@ -141,7 +141,7 @@
 
 // applyUnconfirmed applies the statement of a response that could not be reported to any issuer. It
 // reports whether the limit changed.
-func (t *sharedLimit) applyUnconfirmed(now time.Time, heard *ratelimit.Word) (changed bool) {
+func (t *sharedLimit) applyUnconfirmed(now time.Time, heard *ratelimit.LimitReport) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.unreported != heard || heard.State == t.limit {
@@ -189,7 +189,7 @@
 
 // endReport ends a report. It returns true if the caller must report again because a response named
 // another limit in the meantime.
-func (t *sharedLimit) endReport(reported *ratelimit.Word) (again bool) {
+func (t *sharedLimit) endReport(reported *ratelimit.LimitReport) (again bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reporting = t.unreported != nil && t.unreported != reported && t.unreported.State != t.limit
@@ -232,7 +232,7 @@
 }
 
 // applyIssuedLimit applies the issuer's limit of a replica.
-func (f *Fleet) applyIssuedLimit(peer *Peer, s ratelimit.State, term, version uint64, heard *ratelimit.Word) {
+func (f *Fleet) applyIssuedLimit(peer *Peer, s ratelimit.State, term, version uint64, heard *ratelimit.LimitReport) {
 	before := peer.sharedLimit.limitSince()
 	changed := peer.sharedLimit.applyIssued(f.bootNow(), s, term, version, heard)
 	if changed || !s.Limited {
--- a/src/exchange/sharedlimit_sim_test.go
+++ b/src/exchange/sharedlimit_sim_test.go
@@ -49,7 +49,7 @@
 
 type worldGateway struct {
 	sharedLimit  sharedLimit
-	localIssuer  *ratelimit.StandIn
+	localIssuer  *ratelimit.FallbackIssuer
 	node         *worldNode
 	nextPermitAt time.Duration
 	// limitKnownAt is when the gateway first received the current limit, 0 if it has not.
@@ -59,7 +59,7 @@
 }
 
 type worldNode struct {
-	localIssuer *ratelimit.StandIn
+	localIssuer *ratelimit.FallbackIssuer
 	lostSince   time.Duration
 	// cutFrom and cutTo are the start and end of a partition from the other control nodes.
 	cutFrom, cutTo time.Duration
@@ -83,10 +83,10 @@
 func newLimitedWorld(seed uint64, gateways int, faults float64, limits ...worldLimit) *limitedWorld {
 	w := &limitedWorld{random: rand.New(rand.NewPCG(seed, 51)), faults: faults, limits: limits}
 	for range worldNodes {
-		w.nodes = append(w.nodes, &worldNode{localIssuer: ratelimit.NewStandIn(w.random.Float64), lostSince: -1})
+		w.nodes = append(w.nodes, &worldNode{localIssuer: ratelimit.NewFallbackIssuer(w.random.Float64), lostSince: -1})
 	}
 	for i := range gateways {
-		w.gateways = append(w.gateways, &worldGateway{localIssuer: ratelimit.NewStandIn(w.random.Float64), node: w.nodes[i%worldNodes]})
+		w.gateways = append(w.gateways, &worldGateway{localIssuer: ratelimit.NewFallbackIssuer(w.random.Float64), node: w.nodes[i%worldNodes]})
 	}
 	return w
 }
@@ -146,12 +146,12 @@
 		w.refused = append(w.refused, w.now)
 	default:
 		asked := w.now
-		w.ask(g, ratelimit.Ahead, func(a ratelimit.Answer) { w.answered(g, asked, a) })
+		w.ask(g, ratelimit.Horizon, func(a ratelimit.Reply) { w.answered(g, asked, a) })
 	}
 }
 
 // answered lets a request wait until its permit becomes valid.
-func (w *limitedWorld) answered(g *worldGateway, asked time.Duration, a ratelimit.Answer) {
+func (w *limitedWorld) answered(g *worldGateway, asked time.Duration, a ratelimit.Reply) {
 	switch {
 	case !g.sharedLimit.active.Load():
 		w.send(g, sentRequest{sentAt: w.clock()})
@@ -162,12 +162,12 @@
 			g.nextPermitAt = w.now + permitRetryDelay
 		}
 	default:
-		w.after(a.Wait, func() { w.use(g, asked+a.Wait+ratelimit.Life, a) })
+		w.after(a.Wait, func() { w.use(g, asked+a.Wait+ratelimit.PermitTTL, a) })
 	}
 }
 
 // use sends a request with a permit unless the permit has expired.
-func (w *limitedWorld) use(g *worldGateway, until time.Duration, a ratelimit.Answer) {
+func (w *limitedWorld) use(g *worldGateway, until time.Duration, a ratelimit.Reply) {
 	if w.now < g.suspendedUntil {
 		w.after(g.suspendedUntil-w.now, func() { w.use(g, until, a) })
 		return
@@ -179,27 +179,27 @@
 
 // ask requests a permit from the gateway's control node. If there is no reply, the gateway issues
 // one locally.
-func (w *limitedWorld) ask(g *worldGateway, within time.Duration, then func(ratelimit.Answer)) {
+func (w *limitedWorld) ask(g *worldGateway, within time.Duration, then func(ratelimit.Reply)) {
 	told := g.sharedLimit.report()
-	ask := ratelimit.Ask{Server: "r", Word: told.word, Within: within}
+	ask := ratelimit.Request{Server: "r", LimitReport: told.word, MaxWait: within}
 	done := false
-	end := func(a ratelimit.Answer) {
+	end := func(a ratelimit.Reply) {
 		if done {
 			return
 		}
 		if w.now < g.suspendedUntil {
-			a = ratelimit.Answer{} // the request has timed out meanwhile
+			a = ratelimit.Reply{} // the request has timed out meanwhile
 		}
 		done = true
 		if a.Known {
 			g.sharedLimit.applyIssued(w.clock(), a.State, a.Term, a.Version, told.heard)
 		} else {
-			ask.Word = ratelimit.Word{State: g.sharedLimit.currentLimit()}
+			ask.LimitReport = ratelimit.LimitReport{State: g.sharedLimit.currentLimit()}
 			a = g.localIssuer.Take(w.clock(), ask, ratelimit.GatewayShare(len(w.gateways)))
 		}
 		then(a)
 	}
-	w.after(permitTimeout, func() { end(ratelimit.Answer{}) })
+	w.after(permitTimeout, func() { end(ratelimit.Reply{}) })
 	there, lost := w.delay()
 	if lost || w.now >= g.node.unreachableFrom && w.now < g.node.unreachableTo {
 		return
@@ -214,7 +214,7 @@
 
 // issue returns the reply of a control node: that of the leader, or after a second without a leader
 // one from the node's own share.
-func (w *limitedWorld) issue(n *worldNode, ask ratelimit.Ask) ratelimit.Answer {
+func (w *limitedWorld) issue(n *worldNode, ask ratelimit.Request) ratelimit.Reply {
 	reached := (w.now < n.cutFrom || w.now >= n.cutTo) && w.random.Float64() >= w.faults/2
 	for _, issuer := range w.issuers {
 		if a := issuer.Take(w.clock(), ask); a.Known {
@@ -228,12 +228,12 @@
 	if n.lostSince < 0 {
 		n.lostSince = w.now
 	}
-	if ask.Word.Heard && ask.Word.Limited {
-		heard := []ratelimit.Told{{State: ask.Word.State}}
+	if ask.LimitReport.FromResponse && ask.LimitReport.Limited {
+		heard := []ratelimit.ServerLimit{{State: ask.LimitReport.State}}
 		w.after(50*time.Millisecond, func() { w.broadcast(n, 0, 0, heard) })
 	}
 	if w.now-n.lostSince < time.Second {
-		return ratelimit.Answer{}
+		return ratelimit.Reply{}
 	}
 	return n.localIssuer.Take(w.clock(), ask, ratelimit.ControlShare(worldNodes))
 }
@@ -246,7 +246,7 @@
 
 // broadcast sends limits from a control node, or from the leader if it is nil, to all gateways that
 // it reaches.
-func (w *limitedWorld) broadcast(from *worldNode, term, version uint64, told []ratelimit.Told) {
+func (w *limitedWorld) broadcast(from *worldNode, term, version uint64, told []ratelimit.ServerLimit) {
 	for _, g := range w.gateways {
 		for _, one := range told {
 			cut := w.now >= g.node.cutFrom && w.now < g.node.cutTo
@@ -308,7 +308,7 @@
 // tellIssuer reports a limit to the issuer.
 func (w *limitedWorld) tellIssuer(g *worldGateway) {
 	heard := g.sharedLimit.report().heard
-	w.ask(g, -1, func(a ratelimit.Answer) {
+	w.ask(g, -1, func(a ratelimit.Reply) {
 		if !a.Known && heard != nil {
 			g.sharedLimit.applyUnconfirmed(w.clock(), heard)
 		}
--- a/src/exchange/sharedlimit_test.go
+++ b/src/exchange/sharedlimit_test.go
@@ -87,7 +87,7 @@
 	sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{})
 	told := sharedLimit.report()
 	sharedLimit.applyIssued(noon, limitOf(2), 0, 0, told.heard)
-	is.True(sharedLimit.report().word.Heard)
+	is.True(sharedLimit.report().word.FromResponse)
 }
 
 // limitedBench has one replica that names a limit, and a permit issuer.
@@ -98,10 +98,10 @@
 	issuer := ratelimit.NewIssuer(func() ratelimit.Leadership {
 		return ratelimit.Leadership{Self: true, Term: 1, Since: time.Now().Add(-time.Hour)}
 	}, nil)
-	b.handler.options.Permits.Ask = func(_ context.Context, q wire.PermitRequest) (wire.PermitReply, error) {
-		a := issuer.Take(time.Now(), ratelimit.Ask{
-			Server: q.Replica, Within: time.Duration(q.WithinMS) * time.Millisecond, Priority: q.Priority,
-			Word: ratelimit.Word{State: ratelimit.State{Limited: q.Limited, PerSecond: q.PerSecond}, Heard: q.Heard, Term: q.Term, Permit: q.Permit},
+	b.handler.options.Permits.Request = func(_ context.Context, q wire.PermitRequest) (wire.PermitReply, error) {
+		a := issuer.Take(time.Now(), ratelimit.Request{
+			Server: q.Replica, MaxWait: time.Duration(q.WithinMS) * time.Millisecond, Priority: q.Priority,
+			LimitReport: ratelimit.LimitReport{State: ratelimit.State{Limited: q.Limited, PerSecond: q.PerSecond}, FromResponse: q.FromResponse, Term: q.Term, Permit: q.Permit},
 		})
 		return wire.PermitReply{Known: true, Limits: true, Granted: a.Granted, WaitUS: a.Wait.Microseconds(), Limited: a.State.Limited, PerSecond: a.State.PerSecond, Term: a.Term, Version: a.Version, Permit: a.Permit}, nil
 	}
@@ -157,7 +157,7 @@
 		is.Equal(b.do("POST", fmt.Sprint("free-", i), "x").status, http.StatusOK)
 	}
 	_, _, told := issuer.Limits(time.Now(), 10, time.Hour)
-	is.Equal(told, []ratelimit.Told{{Server: "x"}})
+	is.Equal(told, []ratelimit.ServerLimit{{Server: "x"}})
 }
 
 // TestLimitBeforeCrashIsNotInherited: the connections of the incarnation that named the limit are
--- a/src/exchange/slot.go
+++ b/src/exchange/slot.go
@@ -9,10 +9,10 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Places assigns slots of services that have fewer slots than there are gateways.
-type Places struct {
-	// Ask waits for a slot. It is nil if slots are not assigned.
-	Ask func(ctx context.Context, request wire.PlaceRequest) (wire.PlaceReply, error)
+// Slots assigns slots of services that have fewer slots than there are gateways.
+type Slots struct {
+	// Request waits for a slot. It is nil if slots are not assigned.
+	Request func(ctx context.Context, request wire.PlaceRequest) (wire.PlaceReply, error)
 	// Release reports how a request with a slot ended. It may block for a while.
 	Release func(wire.PlaceRelease)
 }
@@ -42,10 +42,10 @@
 // about free slots.
 func (c *call) needsAssignedSlot(now time.Time) bool {
 	h := c.handler
-	if h.options.Places.Ask == nil || c.facts.Model != "" || now.UnixNano() < h.slotAssigner.unavailableUntil.Load() {
+	if h.options.Slots.Request == nil || c.facts.Model != "" || now.UnixNano() < h.slotAssigner.unavailableUntil.Load() {
 		return false
 	}
-	slots := h.options.Fleet.Places(c.service)
+	slots := h.options.Fleet.Slots(c.service)
 	return slots > 0 && slots < h.Gateways()
 }
 
@@ -69,7 +69,7 @@
 	request.Tried = append(request.Tried, unavailable...)
 	ctx, cancel := context.WithTimeout(ctx, max(maxWait, 0)+slotReplyMargin)
 	defer cancel()
-	reply, err := h.options.Places.Ask(ctx, request)
+	reply, err := h.options.Slots.Request(ctx, request)
 	if err != nil || !reply.Known {
 		h.slotAssigner.unavailableUntil.Store(h.options.Now().Add(assignerRetryDelay).UnixNano())
 		return Choice{}, false
@@ -99,16 +99,16 @@
 	h := c.handler
 	release := wire.PlaceRelease{Service: c.service, Ticket: c.assignedSlot.ticket, Outcome: string(outcome), TookMS: h.options.Now().Sub(c.assignedSlot.startedAt).Milliseconds()}
 	c.assignedSlot = assignedSlot{}
-	go h.options.Places.Release(release)
+	go h.options.Slots.Release(release)
 }
 
-// Places returns the sum of the slots of a service's usable replicas.
-func (f *Fleet) Places(service string) int {
-	places := 0
+// Slots returns the sum of the slots of a service's usable replicas.
+func (f *Fleet) Slots(service string) int {
+	total := 0
 	for _, c := range f.index.lookup(service, copyKey{}) {
-		places += c.peer.slots()
+		total += c.peer.slots()
 	}
-	return places
+	return total
 }
 
 // Peer returns the replica with an ID, or nil if it may not get requests.
--- a/src/exchange/slot_test.go
+++ b/src/exchange/slot_test.go
@@ -15,8 +15,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// fakePlaces returns the reply set by a test and records the calls.
-type fakePlaces struct {
+// fakeSlots returns the reply set by a test and records the calls.
+type fakeSlots struct {
 	reply    wire.PlaceReply
 	err      error
 	asked    chan wire.PlaceRequest
@@ -24,11 +24,11 @@
 }
 
 // newSlotBench has fewer slots than gateways.
-func newSlotBench(t *testing.T, f *fakePlaces, replicas ...*fakeReplica) *bench {
+func newSlotBench(t *testing.T, f *fakeSlots, replicas ...*fakeReplica) *bench {
 	f.asked, f.released = make(chan wire.PlaceRequest, 8), make(chan wire.PlaceRelease, 8)
 	b := newBench(t, route(catalog.Safe, 2), replicas...)
-	b.handler.options.Places = Places{
-		Ask: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
+	b.handler.options.Slots = Slots{
+		Request: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
 			f.asked <- request
 			return f.reply, f.err
 		},
@@ -41,7 +41,7 @@
 func TestRequestIsSentToAssignedReplica(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", whole), newReplica(t, "y", whole)
-	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
+	f := &fakeSlots{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
 	b := newSlotBench(t, f, x, y)
 	for range 5 {
 		is.Equal(b.do("GET", "one", "").status, http.StatusOK)
@@ -58,10 +58,10 @@
 func TestLimitedReplicaIsUsedBesideAssignedSlots(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }), newReplica(t, "y", whole)
-	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
+	f := &fakeSlots{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
 	b := newSlotBench(t, f, x, y)
 	granted := true
-	b.handler.options.Permits.Ask = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) {
+	b.handler.options.Permits.Request = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) {
 		reply := wire.PermitReply{Known: true, Limits: true, Limited: true, PerSecond: 5, Term: 1, WaitUS: 10_000_000}
 		if request.WithinMS >= 0 && granted {
 			reply.Granted, reply.WaitUS, granted = true, 0, false
@@ -79,7 +79,7 @@
 func TestRequestWithoutSlotIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
-	b := newSlotBench(t, &fakePlaces{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
+	b := newSlotBench(t, &fakeSlots{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
 	got := b.do("GET", "one", "")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.header.Get("Retry-After"), "0.420")
@@ -90,7 +90,7 @@
 func TestGatewayChoosesReplicaWithoutAssigner(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
-	f := &fakePlaces{err: errors.New("cut off")}
+	f := &fakeSlots{err: errors.New("cut off")}
 	b := newSlotBench(t, f, x)
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
 	is.Equal(b.do("GET", "two", "").status, http.StatusOK)
@@ -101,7 +101,7 @@
 func TestFewGatewaysRequestNoSlots(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
-	f := &fakePlaces{}
+	f := &fakeSlots{}
 	b := newSlotBench(t, f, x)
 	b.handler.SetGateways(4)
 	is.Equal(b.do("GET", "one", "").status, http.StatusOK)
@@ -112,7 +112,7 @@
 func TestAnotherSlotIsRequestedAfterRejection(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", notRunning)
-	f := &fakePlaces{reply: wire.PlaceReply{Known: true, Replica: "x", Ticket: 1}}
+	f := &fakeSlots{reply: wire.PlaceReply{Known: true, Replica: "x", Ticket: 1}}
 	b := newSlotBench(t, f, x)
 	_ = b.do("GET", "one", "")
 	is.Equal(len((<-f.asked).Tried), 0)
--- a/src/exchange/start_test.go
+++ b/src/exchange/start_test.go
@@ -18,8 +18,8 @@
 	b := &bench{t: t, demand: NewDemand(), fleet: NewFleet("z", Dial, nil, now, now)}
 	b.handler = NewHandler(Options{
 		Codec: testCodec(), Fleet: b.fleet, Budget: BudgetLimits{Ratio: 1, Extra: 100, Window: 10 * time.Second},
-		Guard:  newTestGuard(),
-		Demand: b.demand, Metrics: NewMetrics(metric.New("test")), Now: now,
+		Tracker: newTestTracker(),
+		Demand:  b.demand, Metrics: NewMetrics(metric.New("test")), Now: now,
 	})
 	b.server = httptest.NewServer(b.handler)
 	t.Cleanup(b.server.Close)
--- a/src/feed/known.go
+++ b/src/feed/known.go
@@ -70,7 +70,7 @@
 }
 
 // Standings returns the replicas that changed after a stamp.
-func (f *Follower) Standings(since uint64) []registry.Standing {
+func (f *Follower) Standings(since uint64) []registry.ReplicaStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.directory.Since(since)
--- a/src/fleet/admission.go
+++ b/src/fleet/admission.go
@@ -14,9 +14,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// quotaTerms converts the settings of quotas.
-func quotaTerms(s option.QuotaSetting) quota.Terms {
-	return quota.NewTerms(s.Window.Std(), s.Overage, s.Slack)
+// quotaParameters converts the settings of quotas.
+func quotaParameters(s option.QuotaSetting) quota.Parameters {
+	return quota.NewParameters(s.Window.Std(), s.Overage, s.Slack)
 }
 
 // askAdmission asks the nearest control node to admit a request.
@@ -37,14 +37,14 @@
 // buildGranter creates what admits the gateways' requests, and registers its methods.
 func (c *controlNode) buildGranter() {
 	c.granter = admission.NewGranter(admission.GranterOptions{
-		Node:       c.settings.Peer(),
-		Life:       rand.Uint64(),
-		Terms:      quotaTerms(c.settings.Quota),
-		Leader:     admission.Leader{Lease: c.askLease, Draw: c.askDraw},
-		Leadership: c.leadership,
-		Record:     c.cluster.RecordExtension,
-		Table:      c.table,
-		Now:        clock.Now,
+		Node:        c.settings.Peer(),
+		Incarnation: rand.Uint64(),
+		Parameters:  quotaParameters(c.settings.Quota),
+		Leader:      admission.Leader{Lease: c.askLease, Reserve: c.askDraw},
+		Leadership:  c.leadership,
+		Record:      c.cluster.RecordExtension,
+		Table:       c.table,
+		Now:         clock.Now,
 	})
 	mux := c.proc.Mux()
 	mux.Handle(wire.MethodAdmit, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.AdmitRequest) (wire.AdmitReply, error) {
@@ -53,8 +53,8 @@
 	mux.Handle(wire.MethodLease, rpc.Typed(func(_ context.Context, _ *rpc.Peer, request wire.LeaseRequest) (wire.LeaseReply, error) {
 		return c.granter.Lease(request), nil
 	}))
-	mux.Handle(wire.MethodDraw, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.DrawRequest) (wire.DrawReply, error) {
-		return c.granter.Draw(ctx, request), nil
+	mux.Handle(wire.MethodReserve, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.ReserveRequest) (wire.ReserveReply, error) {
+		return c.granter.Reserve(ctx, request), nil
 	}))
 }
 
@@ -83,11 +83,11 @@
 }
 
 // askDraw asks the leader for quota that no control node holds.
-func (c *controlNode) askDraw(ctx context.Context, request wire.DrawRequest) (wire.DrawReply, error) {
-	if reply := c.granter.Draw(ctx, request); reply.Admission != wire.Unsure {
+func (c *controlNode) askDraw(ctx context.Context, request wire.ReserveRequest) (wire.ReserveReply, error) {
+	if reply := c.granter.Reserve(ctx, request); reply.Admission != wire.Unsure {
 		return reply, nil
 	}
-	var reply wire.DrawReply
-	err := c.cluster.CallLeader(ctx, wire.MethodDraw, request, &reply)
+	var reply wire.ReserveReply
+	err := c.cluster.CallLeader(ctx, wire.MethodReserve, request, &reply)
 	return reply, err
 }
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -63,25 +63,25 @@
 
 // controlNode is a running control node.
 type controlNode struct {
-	settings   option.FleetControl
-	file       string
-	external   Interface
-	proc       *process.Process
-	links      *control.Links
-	node       *control.Node
-	cluster    *control.Cluster
-	publisher  *feed.Publisher
-	relay      *feed.Relay
-	follower   *feed.Follower
-	usage      *exchange.Demand
-	tableCache tableCache
-	placer     *placer.Placer
-	board      *loadview.Board
-	backlog    *loadview.Backlog
-	granter    *admission.Granter
-	desk       *dispatch.Desk
-	permits    permits
-	unknown    *unknownNames
+	settings    option.FleetControl
+	file        string
+	external    Interface
+	proc        *process.Process
+	links       *control.Links
+	node        *control.Node
+	cluster     *control.Cluster
+	publisher   *feed.Publisher
+	relay       *feed.Relay
+	follower    *feed.Follower
+	usage       *exchange.Demand
+	tableCache  tableCache
+	placer      *placer.Placer
+	board       *loadview.Board
+	backlog     *loadview.Backlog
+	granter     *admission.Granter
+	dispatchers *dispatch.Dispatchers
+	permits     permits
+	unknown     *unknownNames
 
 	quarantine *quarantine.Table
 	// sharedQuarantine is the part of it that is sent to gateways, nil while there is none.
@@ -193,7 +193,7 @@
 		setQuorumGauges(m, c.cluster.Quorum())
 		setDelayGauges(m, c.node.Delays())
 		m.Gauge("zones_drained", float64(len(c.cluster.Drains().Zones)))
-		accounts.set(m, c.granter.Used())
+		accounts.set(m, c.granter.DemandRates())
 	})
 	times := registry.Times{Silence: silentHeartbeats * c.settings.Heartbeat.Std(), Forget: forgetReplicas}
 	c.quarantine = newQuarantineTable(c.proc.Ring())
@@ -349,7 +349,7 @@
 	sink := feed.Sink{
 		Replicas: func(changes registry.Changes) {
 			c.placer.SetReplicas(changes)
-			c.desk.SetReplicas(changes)
+			c.dispatchers.SetReplicas(changes)
 		},
 		Drains: c.setDrains,
 	}
--- a/src/fleet/gateway.go
+++ b/src/fleet/gateway.go
@@ -77,7 +77,7 @@
 	demand   *exchange.Demand
 	follower *feed.Follower
 	gate     *admission.Gate
-	guard    *quarantine.Guard
+	tracker  *quarantine.Tracker
 	stopping atomic.Bool
 	// replicas is set once any replica is known.
 	replicas atomic.Bool
@@ -102,16 +102,16 @@
 	debug.SetGCPercent(gatewayGCPercent)
 	g.fleet = exchange.NewFleet(settings.Zone, exchange.Dial, proc.Ring(), time.Now, clock.Now)
 	g.fleet.SetRegions(settings.Zones)
-	terms := quotaTerms(settings.Quota)
+	terms := quotaParameters(settings.Quota)
 	g.gate = admission.NewGate(admission.GateOptions{
-		Ask:   g.askAdmission,
-		Trust: settings.Trust.Std(),
-		Life:  terms.Life,
-		Ring:  proc.Ring(),
-		Now:   clock.Now,
-		Sleep: admission.Sleep,
+		Request:  g.askAdmission,
+		Trust:    settings.Trust.Std(),
+		GrantTTL: terms.GrantTTL,
+		Ring:     proc.Ring(),
+		Now:      clock.Now,
+		Sleep:    admission.Sleep,
 	})
-	g.guard = quarantine.NewGuard(newQuarantineTable(proc.Ring()))
+	g.tracker = quarantine.NewTracker(newQuarantineTable(proc.Ring()))
 	g.handler = exchange.NewHandler(exchange.Options{
 		Codec:  external.Codec,
 		Fleet:  g.fleet,
@@ -123,9 +123,9 @@
 			AwaitTrust: g.gate.AwaitTrust,
 			Now:        clock.Now,
 		},
-		Places:  exchange.Places{Ask: g.askPlace, Release: g.releasePlace},
-		Permits: exchange.Permits{Ask: g.askPermit},
-		Guard:   g.guard,
+		Slots:   exchange.Slots{Request: g.askPlace, Release: g.releasePlace},
+		Permits: exchange.Permits{Request: g.askPermit},
+		Tracker: g.tracker,
 		Demand:  g.demand,
 		Ring:    proc.Ring(),
 		Metrics: exchange.NewMetrics(proc.Metrics()),
@@ -195,7 +195,7 @@
 		Backlogs: g.fleet.SetBacklogs,
 		Limits:   g.fleet.SetLimits,
 
-		Quarantine: func(received []quarantine.Entry) { g.guard.Take(time.Now(), received) },
+		Quarantine: func(received []quarantine.Entry) { g.tracker.MergeFromControl(time.Now(), received) },
 	}
 	g.follower = feed.NewFollower(options, sink, g.proc.Meter(), nil, g.proc.Ring(), clock.Now)
 }
@@ -286,7 +286,7 @@
 			now := time.Now()
 			g.fleet.Tidy(now)
 			g.handler.Tidy(now)
-			g.guard.Sweep(now)
+			g.tracker.Sweep(now)
 		}
 	}
 }
--- a/src/fleet/permit.go
+++ b/src/fleet/permit.go
@@ -19,7 +19,7 @@
 const (
 	// leaderPermitTimeout bounds the wait for the leader's response; the gateway waits half of a
 	// permit's lifetime.
-	leaderPermitTimeout = ratelimit.Life / 3
+	leaderPermitTimeout = ratelimit.PermitTTL / 3
 	// leaderLostAfter is how long a control node gets no response from a leader before it issues
 	// permits from its own share: most elections are over by then.
 	leaderLostAfter = time.Second
@@ -38,8 +38,8 @@
 
 // permits issues permits at a control node.
 type permits struct {
-	issuer  *ratelimit.Issuer
-	standIn *ratelimit.StandIn
+	issuer   *ratelimit.Issuer
+	fallback *ratelimit.FallbackIssuer
 	// lostSince is the time of the first request without a response from a leader, in nanoseconds;
 	// 0 while the leader responds.
 	lostSince atomic.Int64
@@ -54,7 +54,7 @@
 // addPending records a limit that a gateway received from a replica and no leader knows, to be sent
 // to the other gateways.
 func (p *permits) addPending(request wire.PermitRequest) {
-	if !request.Heard || !request.Limited {
+	if !request.FromResponse || !request.Limited {
 		return
 	}
 	p.mu.Lock()
@@ -66,12 +66,12 @@
 }
 
 // drainPending returns the limits recorded since the last call.
-func (p *permits) drainPending() []ratelimit.Told {
+func (p *permits) drainPending() []ratelimit.ServerLimit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var limits []ratelimit.Told
+	var limits []ratelimit.ServerLimit
 	for name, state := range p.pending {
-		limits = append(limits, ratelimit.Told{Server: name, State: state})
+		limits = append(limits, ratelimit.ServerLimit{Server: name, State: state})
 	}
 	clear(p.pending)
 	return limits
@@ -92,7 +92,7 @@
 // buildPermits creates what issues permits for cold and limited replicas, and registers its
 // methods.
 func (c *controlNode) buildPermits() {
-	c.permits.standIn, c.permits.changed = ratelimit.NewStandIn(rand.Float64), wakeup.New()
+	c.permits.fallback, c.permits.changed = ratelimit.NewFallbackIssuer(rand.Float64), wakeup.New()
 	c.permits.pending = map[string]ratelimit.State{}
 	c.permits.issuer = ratelimit.NewIssuer(func() ratelimit.Leadership {
 		lead := c.cluster.Leadership()
@@ -130,7 +130,7 @@
 	if !c.permits.leaderLost(now) {
 		return wire.PermitReply{}
 	}
-	return permitReply(c.permits.standIn.Take(now, c.permitAsk(request), ratelimit.ControlShare(len(c.cluster.Members()))))
+	return permitReply(c.permits.fallback.Take(now, c.permitAsk(request), ratelimit.ControlShare(len(c.cluster.Members()))))
 }
 
 // issue answers a request if this node leads.
@@ -139,26 +139,26 @@
 }
 
 // permitAsk converts a request for the issuers.
-func (c *controlNode) permitAsk(request wire.PermitRequest) ratelimit.Ask {
-	ask := ratelimit.Ask{
+func (c *controlNode) permitAsk(request wire.PermitRequest) ratelimit.Request {
+	ask := ratelimit.Request{
 		Server: request.Replica,
-		Word: ratelimit.Word{
-			State: ratelimit.State{Limited: request.Limited, PerSecond: request.PerSecond},
-			Heard: request.Heard, Term: request.Term, Permit: request.Permit,
+		LimitReport: ratelimit.LimitReport{
+			State:        ratelimit.State{Limited: request.Limited, PerSecond: request.PerSecond},
+			FromResponse: request.FromResponse, Term: request.Term, Permit: request.Permit,
 		},
-		Within:   time.Duration(request.WithinMS) * time.Millisecond,
+		MaxWait:  time.Duration(request.WithinMS) * time.Millisecond,
 		Priority: request.Priority,
 	}
 	if table := c.table(); table != nil && !request.Warm {
 		if service := table.Service(request.Service); service != nil {
-			ask.Cold = service.ColdRate
+			ask.ColdPerSecond = service.ColdRate
 		}
 	}
 	return ask
 }
 
 // permitReply converts the issuers' answer for a gateway.
-func permitReply(a ratelimit.Answer) wire.PermitReply {
+func permitReply(a ratelimit.Reply) wire.PermitReply {
 	return wire.PermitReply{
 		Known: a.Known, Granted: a.Granted, WaitUS: (a.Wait + time.Microsecond - 1).Microseconds(), Limits: a.Known,
 		Limited: a.State.Limited, PerSecond: a.State.PerSecond, Term: a.Term, Version: a.Version, Permit: a.Permit,
@@ -195,7 +195,7 @@
 }
 
 // perSecond returns the limits in force, in requests per second by backend server.
-func perSecond(states []ratelimit.Told) map[string]float64 {
+func perSecond(states []ratelimit.ServerLimit) map[string]float64 {
 	limits := map[string]float64{}
 	for _, limit := range states {
 		if limit.State.Limited {
@@ -206,7 +206,7 @@
 }
 
 // sendLimits sends limits to the gateways of all control nodes.
-func (c *controlNode) sendLimits(ctx context.Context, term, version uint64, states []ratelimit.Told) {
+func (c *controlNode) sendLimits(ctx context.Context, term, version uint64, states []ratelimit.ServerLimit) {
 	if len(states) == 0 {
 		return
 	}
--- a/src/fleet/permit_test.go
+++ b/src/fleet/permit_test.go
@@ -30,9 +30,9 @@
 	is := is.New(t)
 	p := permits{changed: wakeup.New(), pending: map[string]ratelimit.State{}}
 	p.addPending(wire.PermitRequest{Replica: "known", Limited: true, PerSecond: 2})
-	p.addPending(wire.PermitRequest{Replica: "ended", Heard: true})
+	p.addPending(wire.PermitRequest{Replica: "ended", FromResponse: true})
 	is.Equal(len(p.drainPending()), 0)
-	p.addPending(wire.PermitRequest{Replica: "r", Limited: true, PerSecond: 2, Heard: true})
-	is.Equal(p.drainPending(), []ratelimit.Told{{Server: "r", State: ratelimit.State{Limited: true, PerSecond: 2}}})
+	p.addPending(wire.PermitRequest{Replica: "r", Limited: true, PerSecond: 2, FromResponse: true})
+	is.Equal(p.drainPending(), []ratelimit.ServerLimit{{Server: "r", State: ratelimit.State{Limited: true, PerSecond: 2}}})
 	is.Equal(len(p.drainPending()), 0)
 }
--- a/src/fleet/places.go
+++ b/src/fleet/places.go
@@ -26,7 +26,7 @@
 
 // buildDesk creates what assigns places while this node leads, and registers its methods.
 func (c *controlNode) buildDesk() {
-	c.desk = dispatch.NewDesk(clock.Now)
+	c.dispatchers = dispatch.NewDispatchers(clock.Now)
 	mux := c.proc.Mux()
 	mux.Handle(wire.MethodPlace, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.PlaceRequest) (wire.PlaceReply, error) {
 		if c.cluster.Leadership().Self {
@@ -55,8 +55,8 @@
 
 // assign waits for a place and returns it.
 func (c *controlNode) assign(ctx context.Context, request wire.PlaceRequest) wire.PlaceReply {
-	ask := dispatch.Ask{Account: request.Account, Priority: request.Priority, Within: request.Within(), Tried: request.Tried}
-	place, err := c.desk.Ask(ctx, request.Service, ask)
+	ask := dispatch.Request{Account: request.Account, Priority: request.Priority, TimeLeft: request.TimeLeft(), Tried: request.Tried}
+	place, err := c.dispatchers.Request(ctx, request.Service, ask)
 	if err != nil {
 		return wire.PlaceReply{}
 	}
@@ -65,7 +65,7 @@
 
 // handleRelease handles a release; a node that does not lead does not know the ticket and ignores it.
 func (c *controlNode) handleRelease(release wire.PlaceRelease) {
-	c.desk.Release(release.Service, release.Ticket, dispatch.Outcome(release.Outcome), time.Duration(release.TookMS)*time.Millisecond)
+	c.dispatchers.Release(release.Service, release.Ticket, dispatch.Outcome(release.Outcome), time.Duration(release.TookMS)*time.Millisecond)
 }
 
 // forwardRelease forwards a release to the leader, if that is another node.
--- a/src/fleet/quarantine.go
+++ b/src/fleet/quarantine.go
@@ -37,9 +37,9 @@
 	return quarantine.NewTable(func(change quarantine.Change) {
 		switch {
 		case change.Held:
-			ring.Add(event.Event{Kind: event.ContentHeld, Reason: fmt.Sprintf("content %s for %s; ended under it: %s", change.Digest, change.For, strings.Join(change.Ends, " "))})
-		case len(change.Ends) > 0:
-			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: the quarantine expired; ended under it: %s", change.Digest, strings.Join(change.Ends, " "))})
+			ring.Add(event.Event{Kind: event.ContentHeld, Reason: fmt.Sprintf("content %s for %s; ended under it: %s", change.Digest, change.For, strings.Join(change.Failures, " "))})
+		case len(change.Failures) > 0:
+			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: the quarantine expired; ended under it: %s", change.Digest, strings.Join(change.Failures, " "))})
 		default:
 			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: a run succeeded, or an operator lifted the quarantine", change.Digest)})
 		}
@@ -56,11 +56,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.guard.Changed():
+		case <-g.tracker.Changed():
 		case <-timer.C:
 		}
 		pause := reportInterval
-		entries, stamp := g.guard.OwnSince(time.Now(), acknowledged)
+		entries, stamp := g.tracker.OwnSince(time.Now(), acknowledged)
 		switch {
 		case len(entries) == 0:
 			g.repeatEnds(ctx)
@@ -83,7 +83,7 @@
 
 // repeatEnds sends this gateway's recent observations to the nearest control node again.
 func (g *gateway) repeatEnds(ctx context.Context) {
-	if entries := g.guard.OwnWithin(time.Now(), reportDuration); len(entries) > 0 {
+	if entries := g.tracker.OwnWithin(time.Now(), reportDuration); len(entries) > 0 {
 		g.follower.NotifyNearest(ctx, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 	}
 }
@@ -106,7 +106,7 @@
 	entries, _ := c.quarantine.Since(now, 0)
 	var reply wire.LiftReply
 	for _, entry := range entries {
-		if !entry.Digest.Begins(request.Digest) {
+		if !entry.Digest.HasPrefix(request.Digest) {
 			continue
 		}
 		if c.quarantine.Clear(now, entry.Digest) {
--- a/src/fleet/usage.go
+++ b/src/fleet/usage.go
@@ -29,7 +29,7 @@
 
 // handleUsageSum handles the sum of a control node's gateways; it may come from this node.
 func (c *controlNode) handleUsageSum(_ context.Context, _ *rpc.Peer, usage wire.Usage) (wire.Empty, error) {
-	c.placer.TakeUsage(usage)
+	c.placer.RecordUsage(usage)
 	return wire.Empty{}, nil
 }
 
--- a/src/fleet/zone.go
+++ b/src/fleet/zone.go
@@ -61,7 +61,7 @@
 // setDrains stops new placements in drained zones.
 func (c *controlNode) setDrains(drains *wire.ZoneDrains) {
 	c.placer.SetDrains(drains)
-	c.desk.SetDrains(drains)
+	c.dispatchers.SetDrains(drains)
 }
 
 // registerZones registers the operator's methods of moorspool's own API.
--- a/src/placer/fake_replica_test.go
+++ b/src/placer/fake_replica_test.go
@@ -49,7 +49,7 @@
 	at         time.Time
 	orderCount uint64
 	busy       bool
-	models     []registry.Held
+	models     []registry.LoadedModel
 }
 
 // record adds the current state to the history.
@@ -134,7 +134,7 @@
 
 func (f *fakeReplica) execute(now time.Time, o Order) Result {
 	if o.Replica != f.id {
-		return Elsewhere
+		return Misdirected
 	}
 	if o.Token < f.token && !f.ignoresFencing {
 		return Fenced
@@ -157,20 +157,20 @@
 	}
 	_, there := f.models[o.Model]
 	if there == (o.Operation == Load) {
-		return Already
+		return AlreadyDone
 	}
 	f.orderCount++
 	f.doneAt = now.Add(2 * time.Second)
 	if o.Operation == Unload {
 		f.unloading = o.Model
-		return Taken
+		return Accepted
 	}
 	f.loading = o.Model
 	f.storeLoads = append(f.storeLoads, now)
 	if f.usedMB() > f.engine.WeightsMB {
 		f.overcommitted = fmt.Sprintf("%s: %s over the room for weights", f.id, o.Model)
 	}
-	return Taken
+	return Accepted
 }
 
 func (f *fakeReplica) executeAdapter(now time.Time, o Order) Result {
@@ -180,35 +180,35 @@
 		return Invalid
 	}
 	if adapters[o.Adapter] == (o.Operation == Load) {
-		return Already
+		return AlreadyDone
 	}
 	if o.Operation == Unload {
 		if f.inUse[name] {
 			f.pendingUnloads[name] = now.Add(3 * time.Second)
-			return Taken
+			return Accepted
 		}
 		f.orderCount++
 		delete(adapters, o.Adapter)
-		return Already
+		return AlreadyDone
 	}
 	f.orderCount++
 	adapters[o.Adapter] = true
 	if f.adapters() > f.engine.AdapterSlots {
 		f.overcommitted = fmt.Sprintf("%s: %s/%s over the adapter slots", f.id, o.Model, o.Adapter)
 	}
-	return Taken
+	return Accepted
 }
 
-func (f *fakeReplica) held() []registry.Held {
-	var list []registry.Held
+func (f *fakeReplica) held() []registry.LoadedModel {
+	var list []registry.LoadedModel
 	for name, adapters := range f.models {
-		held := registry.Held{Name: name}
+		held := registry.LoadedModel{Name: name}
 		for adapter := range adapters {
 			held.Adapters = append(held.Adapters, adapter)
 		}
 		sort.Strings(held.Adapters)
 		list = append(list, held)
 	}
-	slices.SortFunc(list, func(a, b registry.Held) int { return len(a.Name) - len(b.Name) })
+	slices.SortFunc(list, func(a, b registry.LoadedModel) int { return len(a.Name) - len(b.Name) })
 	return list
 }
--- a/src/placer/ledger.go
+++ b/src/placer/ledger.go
@@ -86,7 +86,7 @@
 
 // updateAvailability records whether the replica accepts calls from this node. Copies on a replica
 // that is leaving count as gone, so that others are loaded in time.
-func (r *replicaState) updateAvailability(now time.Time, availability Word) {
+func (r *replicaState) updateAvailability(now time.Time, availability Availability) {
 	if until := now.Add(min(availability.Backoff, maxBackoff)); availability.Backoff > 0 && until.After(r.backoffUntil) {
 		r.backoffUntil = until
 	}
@@ -110,7 +110,7 @@
 
 // reconcile updates the ledger with the copies that the replica lists. Copies that were ordered
 // recently stay in the ledger even if the replica does not list them yet.
-func (r *replicaState) reconcile(now time.Time, models []registry.Held, fromReport bool) {
+func (r *replicaState) reconcile(now time.Time, models []registry.LoadedModel, fromReport bool) {
 	reported := map[string]bool{}
 	for _, held := range models {
 		reported[held.Name] = true
--- a/src/placer/order.go
+++ b/src/placer/order.go
@@ -39,37 +39,37 @@
 
 // The results.
 const (
-	// Taken means that the replica accepted the order and executes it.
-	Taken Result = "taken"
-	// Already means that the replica had nothing to do.
-	Already Result = "already"
+	// Accepted means that the replica accepted the order and executes it.
+	Accepted Result = "taken"
+	// AlreadyDone means that the replica had nothing to do.
+	AlreadyDone Result = "already"
 	// Refused means that another order is being executed or the expected count is wrong.
 	Refused Result = "refused"
 	// Fenced means that the replica has seen a higher token.
 	Fenced Result = "fenced"
-	// Elsewhere means that the replica is no longer at the address.
-	Elsewhere Result = "elsewhere"
+	// Misdirected means that the replica is no longer at the address.
+	Misdirected Result = "elsewhere"
 	// Invalid means that the replica could not interpret the order.
 	Invalid Result = "invalid"
-	// Lost means that no answer arrived; the replica may have executed the order or may still do
+	// NoAnswer means that no answer arrived; the replica may have executed the order or may still do
 	// so.
-	Lost Result = "lost"
+	NoAnswer Result = "lost"
 )
 
 // Report is a replica's answer to a report request.
 type Report struct {
-	// Born is the start time of the replica in Unix milliseconds; 0 if it is not given.
-	Born     int64
-	Sequence uint64
-	Busy     bool
-	Models   []registry.Held
+	// StartedMS is the start time of the replica in Unix milliseconds; 0 if it is not given.
+	StartedMS int64
+	Sequence  uint64
+	Busy      bool
+	Models    []registry.LoadedModel
 	// Pending are the adapters being loaded.
-	Pending []AdapterName
-	Word    Word
+	Pending      []AdapterName
+	Availability Availability
 }
 
-// Word is what an answer says about further calls from this node to the replica.
-type Word struct {
+// Availability is what an answer says about further calls from this node to the replica.
+type Availability struct {
 	// Backoff is how long the replica wants no more calls; 0 if it did not ask for a backoff.
 	Backoff time.Duration
 	// Leaving means that the replica is leaving.
@@ -79,7 +79,7 @@
 // of reports whether the report comes from the same start of the replica as a record. The next
 // start under the same name answers at the same address.
 func (r *Report) of(record *registry.Record) bool {
-	return r.Born == 0 || record.Born == 0 || r.Born == record.Born
+	return r.StartedMS == 0 || record.StartedMS == 0 || r.StartedMS == record.StartedMS
 }
 
 // AdapterName names an adapter of a model.
@@ -91,7 +91,7 @@
 // Calls are the calls that a placer makes to replicas.
 type Calls struct {
 	// Order sends an order and returns its result, and what the answer says about further calls.
-	Order func(ctx context.Context, order Order) (Result, Word)
-	// Report requests a report. The Word of the returned report is valid beside an error too.
+	Order func(ctx context.Context, order Order) (Result, Availability)
+	// Report requests a report. The Availability of the returned report is valid beside an error too.
 	Report func(ctx context.Context, replica, address string) (Report, error)
 }
--- a/src/placer/placer.go
+++ b/src/placer/placer.go
@@ -183,8 +183,8 @@
 	p.wake.Raise()
 }
 
-// TakeUsage records what the requests of a gateway asked for.
-func (p *Placer) TakeUsage(usage wire.Usage) {
+// RecordUsage records what the requests of a gateway asked for.
+func (p *Placer) RecordUsage(usage wire.Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.demand.record(p.options.Now(), usage)
@@ -348,7 +348,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		r.callInFlight = false
-		r.updateAvailability(p.options.Now(), report.Word)
+		r.updateAvailability(p.options.Now(), report.Availability)
 		if err == nil && report.of(&r.record) {
 			r.applyReport(p.options.Now(), report)
 		}
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -277,11 +277,11 @@
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
-	sim.availability = Word{Backoff: 8 * time.Second}
+	sim.availability = Availability{Backoff: 8 * time.Second}
 	sim.run(2 * time.Second)
 	orders, reports := len(sim.orders), sim.reports
 	is.Equal(orders+reports, 1) // the report request whose answer asked for the backoff
-	sim.availability = Word{}
+	sim.availability = Availability{}
 	sim.run(5 * time.Second)
 	is.Equal([]int{len(sim.orders), sim.reports}, []int{orders, reports})
 	sim.run(20 * time.Second)
@@ -295,10 +295,10 @@
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
-	sim.availability = Word{Leaving: true}
+	sim.availability = Availability{Leaving: true}
 	sim.run(2 * time.Second)
 	calls := len(sim.orders) + sim.reports
-	sim.availability = Word{}
+	sim.availability = Availability{}
 	sim.run(10 * time.Second)
 	is.Equal(len(sim.orders)+sim.reports, calls)
 	next := newFakeReplica("b", e)
@@ -339,7 +339,7 @@
 }
 
 func holds(f *fakeReplica, model string) bool {
-	return slices.ContainsFunc(f.held(), func(h registry.Held) bool { return h.Name == model })
+	return slices.ContainsFunc(f.held(), func(h registry.LoadedModel) bool { return h.Name == model })
 }
 
 // TestWhatIsAskedForHasACopyInTheEnd checks that, with room for every requested model, all of them
--- a/src/placer/send.go
+++ b/src/placer/send.go
@@ -34,9 +34,9 @@
 }
 
 // transmit sends an order if this node still leads.
-func (p *Placer) transmit(ctx context.Context, order Order) (Result, Word) {
+func (p *Placer) transmit(ctx context.Context, order Order) (Result, Availability) {
 	if lead := p.options.Leading(); !lead.Self || lead.Token != order.Token {
-		return Refused, Word{}
+		return Refused, Availability{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -64,15 +64,15 @@
 	now := p.options.Now()
 	p.logOrder(order, result)
 	switch result {
-	case Taken:
+	case Accepted:
 		r.orderCount++
 		r.recordTaken(now, order, p.adapterLoadTime(order))
-	case Already:
+	case AlreadyDone:
 		r.recordAlready(now, order)
 	case Fenced:
 		p.fenced = true
 		r.outcomeUnknown = true
-	case Refused, Elsewhere, Invalid, Lost:
+	case Refused, Misdirected, Invalid, NoAnswer:
 		// The next order requires a new report.
 		r.outcomeUnknown = true
 		r.reportRequestedAt = now
@@ -141,9 +141,9 @@
 func (p *Placer) logOrder(order Order, result Result) {
 	kind := event.OrderSent
 	switch result {
-	case Lost:
+	case NoAnswer:
 		kind = event.OrderInDoubt
-	case Refused, Fenced, Elsewhere, Invalid:
+	case Refused, Fenced, Misdirected, Invalid:
 		kind = event.OrderRefused
 	}
 	name := order.Model
--- a/src/placer/simulation_test.go
+++ b/src/placer/simulation_test.go
@@ -25,7 +25,7 @@
 	orders       []Order
 	entries      map[string]registry.Entry
 	// availability is part of every answer of a replica; reports counts the report requests.
-	availability Word
+	availability Availability
 	reports      int
 	// service is the service of each replica that does not belong to "s".
 	service map[string]string
@@ -79,11 +79,11 @@
 	return nil
 }
 
-func (sim *simulation) order(_ context.Context, o Order) (Result, Word) {
+func (sim *simulation) order(_ context.Context, o Order) (Result, Availability) {
 	sim.orders = append(sim.orders, o)
 	f := sim.find(o.Replica)
 	if f == nil {
-		return Lost, sim.availability
+		return NoAnswer, sim.availability
 	}
 	injected := noFault
 	if sim.fault != nil {
@@ -91,13 +91,13 @@
 	}
 	switch injected {
 	case orderLost:
-		return Lost, sim.availability
+		return NoAnswer, sim.availability
 	case answerLost:
 		f.execute(sim.now, o)
-		return Lost, sim.availability
+		return NoAnswer, sim.availability
 	case executedLate:
 		f.delayed = append(f.delayed, delayedOrder{at: sim.now.Add(4 * time.Second), order: o})
-		return Lost, sim.availability
+		return NoAnswer, sim.availability
 	}
 	return f.execute(sim.now, o), sim.availability
 }
@@ -106,13 +106,13 @@
 	sim.reports++
 	f := sim.find(id)
 	if f == nil {
-		return Report{Word: sim.availability}, context.DeadlineExceeded
+		return Report{Availability: sim.availability}, context.DeadlineExceeded
 	}
 	if len(f.history) == 0 {
-		return Report{Sequence: f.orderCount, Busy: !f.doneAt.IsZero(), Models: f.held(), Word: sim.availability}, nil
+		return Report{Sequence: f.orderCount, Busy: !f.doneAt.IsZero(), Models: f.held(), Availability: sim.availability}, nil
 	}
 	stateAt := f.stateAt(sim.now.Add(-fakeReportLag))
-	return Report{Sequence: stateAt.orderCount, Busy: stateAt.busy, Models: stateAt.models, Word: sim.availability}, nil
+	return Report{Sequence: stateAt.orderCount, Busy: stateAt.busy, Models: stateAt.models, Availability: sim.availability}, nil
 }
 
 // heartbeat registers the current state of a replica.
@@ -173,7 +173,7 @@
 }
 
 func (sim *simulation) request(model, adapter string, requests, tokens int, missing int) {
-	sim.placer.TakeUsage(wire.Usage{Models: []wire.Asked{{Service: "s", Model: model, Adapter: adapter, Requests: requests, Tokens: tokens, Missing: missing}}})
+	sim.placer.RecordUsage(wire.Usage{Models: []wire.Asked{{Service: "s", Model: model, Adapter: adapter, Requests: requests, Tokens: tokens, Missing: missing}}})
 }
 
 func testEngine() *catalog.Engine {
--- a/src/quarantine/digest.go
+++ b/src/quarantine/digest.go
@@ -60,8 +60,8 @@
 	return errors.Wrap(err, "reading a digest")
 }
 
-// Begins reports whether the digest in hexadecimal digits begins with text.
-func (d Digest) Begins(text string) bool {
+// HasPrefix reports whether the digest in hexadecimal digits begins with text.
+func (d Digest) HasPrefix(text string) bool {
 	return text != "" && strings.HasPrefix(hex.EncodeToString(d[:]), text)
 }
 
--- a/src/quarantine/digest_test.go
+++ b/src/quarantine/digest_test.go
@@ -11,8 +11,8 @@
 	is := is.New(t)
 	base := Content{Account: "a", Method: "POST", Host: "h", Target: "/p", Body: []byte("body")}
 	is.Equal(base.Digest(), base.Digest())
-	is.True(base.Digest().Begins(base.Digest().String())) // as logs show it
-	is.True(!base.Digest().Begins(""))
+	is.True(base.Digest().HasPrefix(base.Digest().String())) // as logs show it
+	is.True(!base.Digest().HasPrefix(""))
 	others := []Content{
 		{Account: "b", Method: "POST", Host: "h", Target: "/p", Body: []byte("body")},
 		{Account: "a", Method: "PUT", Host: "h", Target: "/p", Body: []byte("body")},
--- a/src/quarantine/fleet_test.go
+++ b/src/quarantine/fleet_test.go
@@ -40,7 +40,7 @@
 type simMessage struct {
 	at      time.Time
 	to      *Table
-	gateway *Guard
+	gateway *Tracker
 	entries []Entry
 }
 
@@ -48,7 +48,7 @@
 type simFleet struct {
 	random           *rand.Rand
 	now              time.Time
-	gateways         []*Guard
+	gateways         []*Tracker
 	control          *Table
 	sentVersions     []uint64
 	forwardedVersion uint64
@@ -66,7 +66,7 @@
 func newSimFleet(seed uint64, gateways, replicas int) *simFleet {
 	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), now: noon, control: newTestTable(), sentVersions: make([]uint64, gateways)}
 	for range gateways {
-		f.gateways = append(f.gateways, NewGuard(newTestTable()))
+		f.gateways = append(f.gateways, NewTracker(newTestTable()))
 	}
 	for range replicas {
 		f.replicas = append(f.replicas, &simReplica{incarnation: f.newIncarnation()})
@@ -127,7 +127,7 @@
 			left = append(left, request)
 			continue
 		}
-		f.gateways[request.gateway].Ran(f.now, request.content)
+		f.gateways[request.gateway].RecordSuccess(f.now, request.content)
 	}
 	r.running = left
 }
@@ -144,7 +144,7 @@
 			}
 		}
 		if len(mine) > 0 {
-			guard.Ended(f.now, incarnation, mine)
+			guard.AttributeFailure(f.now, incarnation, mine)
 		}
 	}
 	for _, request := range running {
@@ -179,7 +179,7 @@
 		case f.now.Before(n.at):
 			kept = append(kept, n)
 		case n.gateway != nil:
-			n.gateway.Take(f.now, n.entries)
+			n.gateway.MergeFromControl(f.now, n.entries)
 		default:
 			n.to.Merge(f.now, n.entries)
 		}
--- a/src/quarantine/table.go
+++ b/src/quarantine/table.go
@@ -44,9 +44,9 @@
 	// Round grows when the content is cleared by a completed request or by an operator; failures of
 	// earlier rounds no longer count.
 	Round uint64 `json:"r,omitempty"`
-	// Ends identify the incarnations of replicas that ended while running the content in this
+	// Failures identify the incarnations of replicas that ended while running the content in this
 	// round.
-	Ends []string `json:"e,omitempty"`
+	Failures []string `json:"e,omitempty"`
 	// AgeMS is the time since the last of them ended, in milliseconds.
 	AgeMS int64 `json:"a,omitempty"`
 }
@@ -93,9 +93,9 @@
 
 // Change reports that a content was quarantined or released.
 type Change struct {
-	Digest Digest
-	Held   bool
-	Ends   []string
+	Digest   Digest
+	Held     bool
+	Failures []string
 	// For is how long it is held.
 	For time.Duration
 }
@@ -112,8 +112,8 @@
 // Changed returns a channel that receives after the table has changed.
 func (t *Table) Changed() <-chan struct{} { return t.changed.Raised() }
 
-// End records that a replica ended while it ran requests with the given contents.
-func (t *Table) End(now time.Time, replica string, running []Digest) {
+// RecordFailure records that a replica ended while it ran requests with the given contents.
+func (t *Table) RecordFailure(now time.Time, replica string, running []Digest) {
 	var changes []Change
 	t.mu.Lock()
 	for _, digest := range running {
@@ -177,7 +177,7 @@
 	changedAt := now.Add(-time.Duration(max(received.AgeMS, 0)) * time.Millisecond)
 	known := t.entries[received.Digest]
 	if known == nil {
-		incoming := entry{failures: received.Ends, changedAt: changedAt}
+		incoming := entry{failures: received.Failures, changedAt: changedAt}
 		if incoming.expired(now) {
 			return false
 		}
@@ -194,7 +194,7 @@
 		known.round, known.failures, known.changedAt = received.Round, nil, changedAt
 		added = true
 	}
-	for _, replica := range received.Ends {
+	for _, replica := range received.Failures {
 		if len(known.failures) < maxFailures && !slices.Contains(known.failures, replica) {
 			known.failures = append(known.failures, replica)
 			added = true
@@ -216,7 +216,7 @@
 		return changes
 	}
 	e.reportedHeld = held
-	return append(changes, Change{Digest: digest, Held: held, Ends: slices.Clone(e.failures), For: holdDuration(len(e.failures))})
+	return append(changes, Change{Digest: digest, Held: held, Failures: slices.Clone(e.failures), For: holdDuration(len(e.failures))})
 }
 
 func (t *Table) reportChanges(changes []Change) {
@@ -326,7 +326,7 @@
 	var entries []Entry
 	for digest, known := range t.entries {
 		if wanted(known) {
-			entries = append(entries, Entry{Digest: digest, Round: known.round, Ends: slices.Clone(known.failures), AgeMS: now.Sub(known.changedAt).Milliseconds()})
+			entries = append(entries, Entry{Digest: digest, Round: known.round, Failures: slices.Clone(known.failures), AgeMS: now.Sub(known.changedAt).Milliseconds()})
 		}
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return slices.Compare(a.Digest[:], b.Digest[:]) })
--- a/src/quarantine/guard.go
+++ b/src/quarantine/tracker.go
@@ -48,45 +48,45 @@
 	return last.digest == digest && now.Sub(last.at) < successTTL
 }
 
-// Guard combines a gateway's table with its recently completed contents; it is safe for concurrent
+// Tracker combines a gateway's table with its recently completed contents; it is safe for concurrent
 // use.
-type Guard struct {
+type Tracker struct {
 	*Table
 	recentSuccesses recentSuccesses
 }
 
-// NewGuard returns a guard for a table.
-func NewGuard(table *Table) *Guard {
-	return &Guard{Table: table, recentSuccesses: recentSuccesses{slots: make([]success, successSlots)}}
+// NewTracker returns a Tracker for a table.
+func NewTracker(table *Table) *Tracker {
+	return &Tracker{Table: table, recentSuccesses: recentSuccesses{slots: make([]success, successSlots)}}
 }
 
-// Remembered reports whether completed requests with bodies of that length are remembered.
-func (g *Guard) Remembered(bytes int) bool { return bytes <= maxTrackedBody || !g.Empty() }
+// TracksBody reports whether completed requests with bodies of that length are remembered.
+func (g *Tracker) TracksBody(bytes int) bool { return bytes <= maxTrackedBody || !g.Empty() }
 
-// Ended records that a replica ended while it ran requests with the given contents. It returns the
+// AttributeFailure records that a replica ended while it ran requests with the given contents. It returns the
 // contents that the failure is attributed to: those that did not complete recently.
-func (g *Guard) Ended(now time.Time, replica string, running []Digest) []Digest {
+func (g *Tracker) AttributeFailure(now time.Time, replica string, running []Digest) []Digest {
 	var blamed []Digest
 	for _, digest := range running {
 		if !g.recentSuccesses.contains(now, digest) {
 			blamed = append(blamed, digest)
 		}
 	}
-	g.End(now, replica, blamed)
+	g.RecordFailure(now, replica, blamed)
 	return blamed
 }
 
-// Ran records that a request with the content completed.
-func (g *Guard) Ran(now time.Time, digest Digest) {
+// RecordSuccess records that a request with the content completed.
+func (g *Tracker) RecordSuccess(now time.Time, digest Digest) {
 	g.recentSuccesses.add(now, digest)
 	if !g.Empty() {
 		g.Clear(now, digest)
 	}
 }
 
-// Take merges the entries sent by control nodes. A content that completed here recently is cleared
+// MergeFromControl merges the entries sent by control nodes. A content that completed here recently is cleared
 // for all gateways, since those that recorded its failures did not know.
-func (g *Guard) Take(now time.Time, entries []Entry) {
+func (g *Tracker) MergeFromControl(now time.Time, entries []Entry) {
 	for _, digest := range g.Merge(now, entries) {
 		if g.recentSuccesses.contains(now, digest) {
 			g.Clear(now, digest)
--- a/src/quota/allocator.go
+++ b/src/quota/allocator.go
@@ -24,23 +24,23 @@
 	Account string
 	// Rate is in units a second.
 	Rate float64
-	// Saved is the depth of the holder's bucket in units; it is not set in reports.
-	Saved float64
-	// Demand is the recently requested rate in units a second, Typical the mean size of these
+	// Burst is the depth of the holder's bucket in units; it is not set in reports.
+	Burst float64
+	// Demand is the recently requested rate in units a second, UnitsPerRequest the mean size of these
 	// requests in units.
-	Demand  float64
-	Typical float64
-	// Spilled is the number of units that overflowed the holder's bucket unused.
-	Spilled float64
+	Demand          float64
+	UnitsPerRequest float64
+	// Overflow is the number of units that overflowed the holder's bucket unused.
+	Overflow float64
 }
 
 // Report is a holder's request to renew its shares.
 type Report struct {
 	Holder string
-	// Life differs after each restart of the holder and Sequence grows with each report, so that
+	// Incarnation differs after each restart of the holder and Sequence grows with each report, so that
 	// reports that arrive out of order can be ignored.
-	Life     uint64
-	Sequence uint64
+	Incarnation uint64
+	Sequence    uint64
 	// Shares lists every share that the holder may still use, with its demand.
 	Shares []Share
 }
@@ -48,8 +48,8 @@
 // Allocator divides the limits of all accounts among the holders. It is not safe for concurrent
 // use.
 type Allocator struct {
-	terms     Terms
-	startedAt time.Time
+	parameters Parameters
+	startedAt  time.Time
 	// unreported are the holders that may still hold shares of an earlier allocator.
 	unreported map[string]bool
 	// holders is the largest number of holders known.
@@ -101,8 +101,8 @@
 // NewAllocator returns an allocator that starts now. Holders may still use shares leased by an
 // earlier allocator, and extensions holds the units that accounts may have used beyond their rate.
 // known is the usage last reported to this process.
-func NewAllocator(terms Terms, now time.Time, holders []string, extensions map[string]float64, known PriorUsage) *Allocator {
-	d := &Allocator{known: known, recordedExtensions: extensions, terms: terms, startedAt: now, holders: max(len(holders), 1), unreported: map[string]bool{}, lastReports: map[string]reportOrder{}, accounts: map[string]*account{}}
+func NewAllocator(parameters Parameters, now time.Time, holders []string, extensions map[string]float64, known PriorUsage) *Allocator {
+	d := &Allocator{known: known, recordedExtensions: extensions, parameters: parameters, startedAt: now, holders: max(len(holders), 1), unreported: map[string]bool{}, lastReports: map[string]reportOrder{}, accounts: map[string]*account{}}
 	for _, holder := range holders {
 		d.unreported[holder] = true
 	}
@@ -112,17 +112,17 @@
 // leasesKnown reports whether every lease in use is known: all holders have reported, or the leases
 // of earlier allocators have expired.
 func (d *Allocator) leasesKnown(now time.Time) bool {
-	return len(d.unreported) == 0 || !now.Before(d.startedAt.Add(d.terms.Lease+leaseMargin))
+	return len(d.unreported) == 0 || !now.Before(d.startedAt.Add(d.parameters.Lease+leaseMargin))
 }
 
 // Report processes a holder's report and returns the shares that the holder may use for one lease
 // duration from when it sent the report. limit returns an account's limit, false if it has none.
 func (d *Allocator) Report(now time.Time, report Report, limit func(account string) (Limit, bool)) []Share {
 	last, known := d.lastReports[report.Holder]
-	if known && last.incarnation == report.Life && report.Sequence <= last.sequence {
+	if known && last.incarnation == report.Incarnation && report.Sequence <= last.sequence {
 		return nil
 	}
-	d.lastReports[report.Holder] = reportOrder{incarnation: report.Life, sequence: report.Sequence}
+	d.lastReports[report.Holder] = reportOrder{incarnation: report.Incarnation, sequence: report.Sequence}
 	d.holders = max(d.holders, len(d.lastReports))
 	delete(d.unreported, report.Holder)
 	d.endUnreported(now, report)
@@ -133,15 +133,15 @@
 			continue
 		}
 		a := d.account(now, reported.Account, accountLimit)
-		maxSaved := d.terms.maxSaved(accountLimit) / float64(d.holders)
-		if maxSaved < reported.Typical {
+		maxSaved := d.parameters.maxSaved(accountLimit) / float64(d.holders)
+		if maxSaved < reported.UnitsPerRequest {
 			// No request of this size would fit the holder's bucket.
 			reported.Demand = 0
 		}
 		a.unleased.advance(now)
-		a.unleased.add(min(reported.Spilled, maxSaved))
-		a.spent.add(now, -min(reported.Spilled, maxSaved))
-		shares = append(shares, Share{Account: reported.Account, Rate: d.renewLease(now, a, report.Holder, reported), Saved: maxSaved})
+		a.unleased.add(min(reported.Overflow, maxSaved))
+		a.spent.add(now, -min(reported.Overflow, maxSaved))
+		shares = append(shares, Share{Account: reported.Account, Rate: d.renewLease(now, a, report.Holder, reported), Burst: maxSaved})
 	}
 	d.removeIdle(now)
 	return shares
@@ -163,7 +163,7 @@
 
 // renewLease returns the rate that a holder may use from now on.
 func (d *Allocator) renewLease(now time.Time, a *account, holder string, reported Share) float64 {
-	expires := now.Add(d.terms.Lease + leaseMargin)
+	expires := now.Add(d.parameters.Lease + leaseMargin)
 	a.leases[holder] = lease{rate: reported.Rate, expires: expires, demand: reported.Demand, demandAt: now}
 	rate := d.fairRate(now, a, holder)
 	if a.extension.inUse(now) {
@@ -210,7 +210,7 @@
 func (d *Allocator) account(now time.Time, name string, limit Limit) *account {
 	a := d.accounts[name]
 	if a == nil {
-		span := d.terms.Window + d.terms.Life
+		span := d.parameters.Window + d.parameters.GrantTTL
 		a = &account{limit: limit, leases: map[string]lease{}, leasedRateAt: d.startedAt, spent: slidingWindow{span: span}}
 		// The bucket starts empty but fills from the allocator's start.
 		a.unleased = bucket{at: d.startedAt}
@@ -253,7 +253,7 @@
 func (d *Allocator) Take(now time.Time, name string, units float64, limit Limit) TakeResult {
 	a := d.account(now, name, limit)
 	d.updateUnleased(now, a)
-	remaining := a.remaining(now, &d.terms, d.maxUnreportedUse(now, limit))
+	remaining := a.remaining(now, &d.parameters, d.maxUnreportedUse(now, limit))
 	if !a.extension.inUse(now) || a.extension.isBlocked(now) || units <= remaining {
 		if taken, _ := a.unleased.borrow(now, units); taken {
 			a.spent.add(now, units)
@@ -275,13 +275,13 @@
 	if d.leasesKnown(now) {
 		return 0
 	}
-	return leasableFraction * limit.Rate * d.startedAt.Add(d.terms.Lease+leaseMargin).Sub(now).Seconds()
+	return leasableFraction * limit.Rate * d.startedAt.Add(d.parameters.Lease+leaseMargin).Sub(now).Seconds()
 }
 
 // remaining returns the units left in the present window if holders use their leases in full and
 // holders that have not reported use unreportedUse.
-func (a *account) remaining(now time.Time, terms *Terms, unreportedUse float64) float64 {
-	remaining := a.limit.Rate*terms.Window.Seconds() + a.limit.Burst - a.spent.used(now) - unreportedUse
+func (a *account) remaining(now time.Time, parameters *Parameters, unreportedUse float64) float64 {
+	remaining := a.limit.Rate*parameters.Window.Seconds() + a.limit.Burst - a.spent.used(now) - unreportedUse
 	for _, l := range a.leases {
 		if timeLeft := l.expires.Sub(now); timeLeft > 0 {
 			remaining -= l.rate * timeLeft.Seconds()
@@ -323,7 +323,7 @@
 		}
 	}
 	for name := range d.recordedExtensions {
-		if d.accounts[name] == nil && !now.Before(d.startedAt.Add(d.terms.Window+d.terms.Life)) {
+		if d.accounts[name] == nil && !now.Before(d.startedAt.Add(d.parameters.Window+d.parameters.GrantTTL)) {
 			ended = append(ended, name)
 		}
 	}
--- a/src/quota/holder.go
+++ b/src/quota/holder.go
@@ -10,7 +10,7 @@
 type Holder struct {
 	name        string
 	incarnation uint64
-	terms       Terms
+	parameters  Parameters
 	sequence    uint64
 	shares      map[string]*heldShare
 }
@@ -27,8 +27,8 @@
 }
 
 // NewHolder returns a holder without shares; incarnation differs after each restart.
-func NewHolder(name string, incarnation uint64, terms Terms) *Holder {
-	return &Holder{name: name, incarnation: incarnation, terms: terms, shares: map[string]*heldShare{}}
+func NewHolder(name string, incarnation uint64, parameters Parameters) *Holder {
+	return &Holder{name: name, incarnation: incarnation, parameters: parameters, shares: map[string]*heldShare{}}
 }
 
 // AddDemand counts requested units, whether they will be granted or not.
@@ -61,15 +61,15 @@
 // without demand.
 func (h *Holder) Report(now time.Time) Report {
 	h.sequence++
-	report := Report{Holder: h.name, Life: h.incarnation, Sequence: h.sequence}
+	report := Report{Holder: h.name, Incarnation: h.incarnation, Sequence: h.sequence}
 	for account, p := range h.shares {
 		// Units that overflowed the bucket are given back to the allocator, once.
 		share := Share{Account: account, Demand: p.demand.rate(now)}
 		if requests := p.requests.rate(now); requests > 0 {
-			share.Typical = share.Demand / requests
+			share.UnitsPerRequest = share.Demand / requests
 		}
 		p.tokens.advance(earlier(now, p.expires))
-		share.Spilled = min(p.tokens.overflow, p.tokens.depth)
+		share.Overflow = min(p.tokens.overflow, p.tokens.depth)
 		p.tokens.overflow = 0
 		if now.Before(p.expires) {
 			share.Rate = p.tokens.rate
@@ -93,20 +93,20 @@
 // Apply installs the shares that the allocator returned for the report sent at sentAt. It must not
 // be called once a later report was sent.
 func (h *Holder) Apply(now, sentAt time.Time, shares []Share) {
-	expires := sentAt.Add(h.terms.Lease)
+	expires := sentAt.Add(h.parameters.Lease)
 	for _, share := range shares {
 		p := h.heldShare(share.Account)
 		if !now.Before(p.expires) {
 			// Units saved under an expired lease are lost.
 			p.tokens = bucket{at: now}
 		}
-		p.tokens.set(now, share.Rate, share.Saved)
+		p.tokens.set(now, share.Rate, share.Burst)
 		p.expires = expires
 	}
 }
 
-// Used returns the demand of each account in units a second.
-func (h *Holder) Used(now time.Time) map[string]float64 {
+// DemandRates returns the demand of each account in units a second.
+func (h *Holder) DemandRates(now time.Time) map[string]float64 {
 	used := make(map[string]float64, len(h.shares))
 	for account, p := range h.shares {
 		used[account] = p.demand.rate(now)
--- a/src/quota/terms.go
+++ b/src/quota/parameters.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Terms are the parameters of the limits; every process has the same.
-type Terms struct {
+// Parameters are the parameters of the limits; every process has the same.
+type Parameters struct {
 	// Window is the span over which use is counted.
 	Window time.Duration
 	// Overage is the part of a limit over the window by which use may exceed it, and Slack the
@@ -12,11 +12,11 @@
 	Slack   float64
 	// Lease is how long a holder may use a share without hearing from the allocator.
 	Lease time.Duration
-	// Life is how long a grant may be spent.
-	Life time.Duration
+	// GrantTTL is how long a grant may be spent.
+	GrantTTL time.Duration
 }
 
-// Limits of the lease and of a grant's life.
+// Limits of the lease and of a grant's TTL.
 const (
 	// leaseDuration lets an availability zone that is cut off keep working for a while. It is below
 	// the 2.5 s after which a silent control node loses its membership, so that a new leader always
@@ -29,25 +29,25 @@
 	minGrantTTL = 100 * time.Millisecond
 )
 
-// NewTerms returns the terms for a window. Half of the overage is reserved for grants that are
+// NewParameters returns the parameters for a window. Half of the overage is reserved for grants that are
 // still unspent.
-func NewTerms(window time.Duration, overage, slack float64) Terms {
+func NewParameters(window time.Duration, overage, slack float64) Parameters {
 	half := time.Duration(float64(window) * overage / 2)
-	return Terms{
-		Window:  window,
-		Overage: overage,
-		Slack:   slack,
-		Lease:   leaseDuration,
-		Life:    min(max(half, minGrantTTL), maxGrantTTL),
+	return Parameters{
+		Window:   window,
+		Overage:  overage,
+		Slack:    slack,
+		Lease:    leaseDuration,
+		GrantTTL: min(max(half, minGrantTTL), maxGrantTTL),
 	}
 }
 
 // maxSaved returns how many units of an account all holders together may save. It is a third of the
 // allowed excess that is left after unspent grants. Another third covers units that holders give
 // back from before a window, the last one clock drift and requests larger than the burst.
-func (t *Terms) maxSaved(limit Limit) float64 {
+func (t *Parameters) maxSaved(limit Limit) float64 {
 	over := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
-	return max(over-limit.Rate*t.Life.Seconds(), 0) / 3
+	return max(over-limit.Rate*t.GrantTTL.Seconds(), 0) / 3
 }
 
 // Limit is how much an account may use over all gateways.
--- a/src/quota/quota_test.go
+++ b/src/quota/quota_test.go
@@ -13,7 +13,7 @@
 
 func init() { testseed.Fix() }
 
-func testTerms() Terms { return NewTerms(8*time.Second, 0.1, 17000) }
+func testParameters() Parameters { return NewParameters(8*time.Second, 0.1, 17000) }
 
 // TestUseNeverExceedsTheLimitInAnyWindow floods accounts while leaders change or are missing,
 // control nodes are disconnected or restarted, gateways lose their grants, and requests reach their
@@ -27,7 +27,7 @@
 			"small": {Rate: 4200, Burst: 4200},
 			"bare":  {Rate: 20000},
 		}
-		w := newSimulation(leased, testTerms(), limits, 6, 24, random)
+		w := newSimulation(leased, testParameters(), limits, 6, 24, random)
 		chance := rapid.SampledFrom([]float64{0, 0.0005, 0.002, 0.01}).Draw(t, "chance of a fault in a step")
 		pause := time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "lull between floods"))
 		flood := rapid.Float64Range(0.3, 8).Draw(t, "asked, as a part of the limit")
@@ -81,7 +81,7 @@
 		if left < units && w.random.Float64() > left/units {
 			return
 		}
-		delay := time.Duration(w.random.Int64N(int64(w.terms.Life)))
+		delay := time.Duration(w.random.Int64N(int64(w.parameters.GrantTTL)))
 		w.ask(w.random.IntN(len(w.gateways)), account, units, delay)
 	}
 }
@@ -92,7 +92,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		limits := map[string]Limit{"large": {Rate: 300000, Burst: 300000}, "mid": {Rate: 60000, Burst: 60000}}
-		w := newSimulation(leased, testTerms(), limits, 6, 89, random)
+		w := newSimulation(leased, testParameters(), limits, 6, 89, random)
 		w.idle(10 * time.Second)
 		for range 3000 {
 			w.advance()
@@ -131,7 +131,7 @@
 	refused := map[strategy]int{}
 	for _, strategy := range []strategy{leased, central, equal} {
 		limits := map[string]Limit{"large": {Rate: 300000, Burst: 300000}, "mid": {Rate: 60000, Burst: 60000}}
-		w := newSimulation(strategy, testTerms(), limits, 6, 89, rand.New(rand.NewPCG(1, 3)))
+		w := newSimulation(strategy, testParameters(), limits, 6, 89, rand.New(rand.NewPCG(1, 3)))
 		w.idle(10 * time.Second)
 		for i := range 3000 {
 			w.advance()
@@ -158,7 +158,7 @@
 func TestAFloodAfterAnIdleWindowGetsTheWholeWindowAtOnce(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 300000, Burst: 300000}
-	w := newSimulation(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 5)))
+	w := newSimulation(leased, testParameters(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 5)))
 	w.idle(10 * time.Second)
 	for range 300 {
 		w.advance()
@@ -167,7 +167,7 @@
 	is.True(w.peakUsage("a") >= 0.98*9*limit.Rate)
 	is.True(w.peakUsage("a") <= w.maxUsage("a"))
 	before := w.refused
-	w.idle(testTerms().Window + testTerms().Life)
+	w.idle(testParameters().Window + testParameters().GrantTTL)
 	w.flood("a", limit, 6)
 	is.Equal(w.refused, before)
 }
@@ -176,7 +176,7 @@
 func TestAFloodAfterAChangeOfTheLeaderGetsWhatIsLeftOfItsWindow(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 300000, Burst: 300000}
-	w := newSimulation(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 6)))
+	w := newSimulation(leased, testParameters(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 6)))
 	w.idle(10 * time.Second)
 	for range 300 {
 		w.advance()
@@ -197,7 +197,7 @@
 func TestANewAllocatorCountsRecordedExtensions(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 100, Burst: 100}
-	d := NewAllocator(testTerms(), noon, nil, map[string]float64{"a": 300}, PriorUsage{})
+	d := NewAllocator(testParameters(), noon, nil, map[string]float64{"a": 300}, PriorUsage{})
 	is.True(!d.Take(noon.Add(3*time.Second), "a", 10, limit).Taken)
 	is.True(d.Take(noon.Add(4*time.Second), "a", 10, limit).Taken)
 	is.Equal(len(d.Ended(noon.Add(5*time.Second))), 0)
@@ -208,7 +208,7 @@
 func TestAFloodOfALargeAccountGetsItsLimit(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 300000, Burst: 300000}
-	w := newSimulation(leased, testTerms(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 4)))
+	w := newSimulation(leased, testParameters(), map[string]Limit{"a": limit}, 6, 89, rand.New(rand.NewPCG(1, 4)))
 	for range 2000 {
 		w.advance()
 		w.flood("a", limit, 6)
@@ -223,7 +223,7 @@
 func TestARequestLargerThanTheBurstIsServedAndPaidForAfterwards(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 100, Burst: 50}
-	d := NewAllocator(testTerms(), noon, nil, nil, PriorUsage{})
+	d := NewAllocator(testParameters(), noon, nil, nil, PriorUsage{})
 	is.True(d.Take(noon.Add(2*time.Second), "a", 90, limit).Taken)
 	answer := d.Take(noon.Add(2*time.Second), "a", 10, limit)
 	is.True(!answer.Taken)
@@ -233,10 +233,10 @@
 // A holder that has not reported may still spend what an earlier allocator leased to it.
 func TestANewAllocatorRaisesNoShareBeforeAllHoldersReport(t *testing.T) {
 	is := is.New(t)
-	terms := testTerms()
+	terms := testParameters()
 	limit := func(string) (Limit, bool) { return Limit{Rate: 1000, Burst: 1000}, true }
 	d := NewAllocator(terms, noon, []string{"x", "y"}, nil, PriorUsage{})
-	report := Report{Holder: "x", Life: 1, Sequence: 1, Shares: []Share{{Account: "a", Rate: 200, Demand: 900, Typical: 10}}}
+	report := Report{Holder: "x", Incarnation: 1, Sequence: 1, Shares: []Share{{Account: "a", Rate: 200, Demand: 900, UnitsPerRequest: 10}}}
 	is.Equal(d.Report(noon.Add(time.Second), report, limit)[0].Rate, 200.0)
 	report.Sequence++
 	later := noon.Add(terms.Lease + leaseMargin)
@@ -246,22 +246,22 @@
 func TestAnOlderReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	limit := func(string) (Limit, bool) { return Limit{Rate: 1000, Burst: 1000}, true }
-	d := NewAllocator(testTerms(), noon, nil, nil, PriorUsage{})
-	shares := []Share{{Account: "a", Demand: 100, Typical: 10}}
-	is.Equal(len(d.Report(noon, Report{Holder: "x", Life: 1, Sequence: 2, Shares: shares}, limit)), 1)
-	is.Equal(len(d.Report(noon, Report{Holder: "x", Life: 1, Sequence: 1, Shares: shares}, limit)), 0)
-	is.Equal(len(d.Report(noon, Report{Holder: "x", Life: 2, Sequence: 1, Shares: shares}, limit)), 1)
+	d := NewAllocator(testParameters(), noon, nil, nil, PriorUsage{})
+	shares := []Share{{Account: "a", Demand: 100, UnitsPerRequest: 10}}
+	is.Equal(len(d.Report(noon, Report{Holder: "x", Incarnation: 1, Sequence: 2, Shares: shares}, limit)), 1)
+	is.Equal(len(d.Report(noon, Report{Holder: "x", Incarnation: 1, Sequence: 1, Shares: shares}, limit)), 0)
+	is.Equal(len(d.Report(noon, Report{Holder: "x", Incarnation: 2, Sequence: 1, Shares: shares}, limit)), 1)
 }
 
 func TestAShareEndsWithItsLease(t *testing.T) {
 	is := is.New(t)
-	terms := testTerms()
+	terms := testParameters()
 	h := NewHolder("x", 1, terms)
-	h.Apply(noon, noon, []Share{{Account: "a", Rate: 100, Saved: 100}})
+	h.Apply(noon, noon, []Share{{Account: "a", Rate: 100, Burst: 100}})
 	is.True(h.Take(noon.Add(time.Second), "a", 50))
 	is.True(h.Take(noon.Add(terms.Lease-1), "a", 50))
 	is.True(!h.Take(noon.Add(terms.Lease), "a", 1))
-	h.Apply(noon.Add(terms.Lease), noon.Add(terms.Lease), []Share{{Account: "a", Rate: 100, Saved: 100}})
+	h.Apply(noon.Add(terms.Lease), noon.Add(terms.Lease), []Share{{Account: "a", Rate: 100, Burst: 100}})
 	is.True(!h.Take(noon.Add(terms.Lease), "a", 1)) // nothing saved over the gap
 }
 
--- a/src/quota/simulation_test.go
+++ b/src/quota/simulation_test.go
@@ -31,9 +31,9 @@
 // simulation is an installation in virtual time: gateways ask their control node, control nodes ask
 // the leader.
 type simulation struct {
-	strategy strategy
-	terms    Terms
-	limits   map[string]Limit
+	strategy   strategy
+	parameters Parameters
+	limits     map[string]Limit
 	// accounts are the names in limits in a fixed order.
 	accounts []string
 	random   *rand.Rand
@@ -77,11 +77,11 @@
 	units   float64
 }
 
-func newSimulation(strategy strategy, terms Terms, limits map[string]Limit, nodes, gateways int, random *rand.Rand) *simulation {
-	w := &simulation{strategy: strategy, terms: terms, limits: limits, random: random, now: noon, spent: map[string][]spend{}, withinLimit: map[string]*slidingWindow{}, recorded: map[string]float64{}}
+func newSimulation(strategy strategy, parameters Parameters, limits map[string]Limit, nodes, gateways int, random *rand.Rand) *simulation {
+	w := &simulation{strategy: strategy, parameters: parameters, limits: limits, random: random, now: noon, spent: map[string][]spend{}, withinLimit: map[string]*slidingWindow{}, recorded: map[string]float64{}}
 	w.accounts = slices.Sorted(maps.Keys(limits))
 	for account := range limits {
-		w.withinLimit[account] = &slidingWindow{span: terms.Window}
+		w.withinLimit[account] = &slidingWindow{span: parameters.Window}
 	}
 	for i := range nodes {
 		w.nodes = append(w.nodes, &simulatedNode{holder: w.newHolder(i)})
@@ -90,7 +90,7 @@
 		g := &simulatedGateway{node: i % nodes, grants: NewGrants(), equal: map[string]*bucket{}}
 		for account, limit := range limits {
 			part := float64(gateways)
-			g.equal[account] = &bucket{at: noon, rate: limit.Rate / part, depth: (limit.Burst + terms.maxSaved(limit)) / part}
+			g.equal[account] = &bucket{at: noon, rate: limit.Rate / part, depth: (limit.Burst + parameters.maxSaved(limit)) / part}
 		}
 		w.gateways = append(w.gateways, g)
 	}
@@ -100,7 +100,7 @@
 
 func (w *simulation) newHolder(node int) *Holder {
 	w.incarnations++
-	return NewHolder(fmt.Sprint("node-", node), w.incarnations, w.terms)
+	return NewHolder(fmt.Sprint("node-", node), w.incarnations, w.parameters)
 }
 
 // elect makes a node the leader; -1 means none.
@@ -113,7 +113,7 @@
 	for i := range w.nodes {
 		names = append(names, fmt.Sprint("node-", i))
 	}
-	w.allocator = NewAllocator(w.terms, w.now, names, maps.Clone(w.recorded), w.nodes[node].lastUsage)
+	w.allocator = NewAllocator(w.parameters, w.now, names, maps.Clone(w.recorded), w.nodes[node].lastUsage)
 }
 
 // reachesLeader reports whether a node reaches the leader.
@@ -167,7 +167,7 @@
 func (w *simulation) ask(gateway int, account string, units float64, delay time.Duration) bool {
 	w.asked++
 	limit := w.limits[account]
-	withinLimit := w.withinLimit[account].used(w.now)+units <= limit.Rate*w.terms.Window.Seconds()+limit.Burst
+	withinLimit := w.withinLimit[account].used(w.now)+units <= limit.Rate*w.parameters.Window.Seconds()+limit.Burst
 	if withinLimit {
 		w.withinLimit[account].add(w.now, units)
 	}
@@ -189,7 +189,7 @@
 
 func (w *simulation) grant(gateway int, account string, units float64) (time.Time, bool) {
 	g := w.gateways[gateway]
-	until := w.now.Add(w.terms.Life)
+	until := w.now.Add(w.parameters.GrantTTL)
 	if w.strategy == equal {
 		taken, _ := g.equal[account].take(w.now, units)
 		return until, taken
@@ -226,7 +226,7 @@
 	peakUsage, sum, first := 0.0, 0.0, 0
 	for i := range all {
 		sum += all[i].units
-		for all[i].at.Sub(all[first].at) > w.terms.Window {
+		for all[i].at.Sub(all[first].at) > w.parameters.Window {
 			sum -= all[first].units
 			first++
 		}
@@ -238,5 +238,5 @@
 // maxUsage returns how many units an account may spend in any window.
 func (w *simulation) maxUsage(account string) float64 {
 	limit := w.limits[account]
-	return (limit.Rate*w.terms.Window.Seconds()+limit.Burst)*(1+w.terms.Overage) + w.terms.Slack
+	return (limit.Rate*w.parameters.Window.Seconds()+limit.Burst)*(1+w.parameters.Overage) + w.parameters.Slack
 }
--- a/src/quota/usage.go
+++ b/src/quota/usage.go
@@ -17,11 +17,11 @@
 // assume the worst.
 type Usage struct {
 	Account string
-	// Used is the use in equal parts of the window plus one grant's life, the newest first.
+	// Used is the use in equal parts of the window plus one grant's TTL, the newest first.
 	Used []float64
-	// Level is the level of the account's bucket, Extended how much of its extension was used.
-	Level    float64
-	Extended float64
+	// Level is the level of the account's bucket, ExtensionUsed how much of its extension was used.
+	Level         float64
+	ExtensionUsed float64
 }
 
 // PriorUsage is the usage that an allocator last reported to a holder. The zero value means that
@@ -58,10 +58,10 @@
 	for name, a := range d.accounts {
 		d.updateUnleased(now, a)
 		usage = append(usage, Usage{
-			Account:  name,
-			Used:     a.spent.parts(now, usageCells),
-			Level:    max(a.unleased.level, 0),
-			Extended: a.extension.used.used(now),
+			Account:       name,
+			Used:          a.spent.parts(now, usageCells),
+			Level:         max(a.unleased.level, 0),
+			ExtensionUsed: a.extension.used.used(now),
 		})
 	}
 	if len(usage) <= maxUsageAccounts {
@@ -96,7 +96,7 @@
 	}
 	since := d.startedAt.Sub(d.known.requestedAt).Seconds()
 	// Units that holders gave back may have refilled the bucket since, too.
-	maxSaved := usage.Level + d.terms.maxSaved(a.limit)
-	a.spent.add(d.startedAt, max(since, 0)*a.limit.Rate+maxSaved+max(recorded-usage.Extended, 0))
-	a.extension.used.add(d.startedAt, max(recorded, usage.Extended))
+	maxSaved := usage.Level + d.parameters.maxSaved(a.limit)
+	a.spent.add(d.startedAt, max(since, 0)*a.limit.Rate+maxSaved+max(recorded-usage.ExtensionUsed, 0))
+	a.extension.used.add(d.startedAt, max(recorded, usage.ExtensionUsed))
 }
--- a/src/ratelimit/doc.go
+++ b/src/ratelimit/doc.go
@@ -3,7 +3,7 @@
 // their answers.
 //
 // The leader of the control nodes is the only issuer; it spaces the permits of each backend server.
-// A gateway asks for a permit for each request, waits for the permit's time and uses it within Life
+// A gateway asks for a permit for each request, waits for the permit's time and uses it within PermitTTL
 // of that time. It computes the permit's time from when it asked, not from when the answer arrived.
 // Late answers, suspended hosts and leader changes therefore add little to the number of requests
 // in any few seconds.
--- a/src/ratelimit/standin.go
+++ b/src/ratelimit/fallback.go
@@ -12,7 +12,7 @@
 	// the rate.
 	controlShare = 0.5
 	gatewayShare = 0.25
-	// maxSpacing is the longest time between two permits of a StandIn.
+	// maxSpacing is the longest time between two permits of a FallbackIssuer.
 	maxSpacing = time.Hour
 )
 
@@ -22,14 +22,14 @@
 // GatewayShare returns the part of a rate that one of that many gateways has without an issuer.
 func GatewayShare(gateways int) float64 { return gatewayShare / float64(max(gateways, 1)) }
 
-// StandIn issues permits for a fixed share of each rate where no issuer answers; it is safe for
+// FallbackIssuer issues permits for a fixed share of each rate where no issuer answers; it is safe for
 // concurrent use. Its permits have no number, so that limits in the answers to them are never taken
 // to be newer than known ones.
 //
-// The permits of each StandIn come at fixed times with a random phase, and a permit that is not
-// used within Life is lost. Every StandIn starts at the same moment when the leader is lost: if
+// The permits of each FallbackIssuer come at fixed times with a random phase, and a permit that is not
+// used within PermitTTL is lost. Every FallbackIssuer starts at the same moment when the leader is lost: if
 // unused permits were kept, as many requests would be sent at once as there are processes.
-type StandIn struct {
+type FallbackIssuer struct {
 	// random returns a number from 0 to 1.
 	random func() float64
 
@@ -47,19 +47,19 @@
 	lastRequest time.Time
 }
 
-// NewStandIn returns a StandIn that has issued no permits; random returns a number from 0 to 1.
-func NewStandIn(random func() float64) *StandIn {
-	return &StandIn{random: random, servers: map[string]*slotSchedule{}}
+// NewFallbackIssuer returns a FallbackIssuer that has issued no permits; random returns a number from 0 to 1.
+func NewFallbackIssuer(random func() float64) *FallbackIssuer {
+	return &FallbackIssuer{random: random, servers: map[string]*slotSchedule{}}
 }
 
 // Take takes a permit based on the limit that the gateway knows, at a share of the rate.
-func (s *StandIn) Take(now time.Time, ask Ask, share float64) Answer {
-	known := server{limit: knownLimit{state: ask.Word.State}}
-	p, bounded := known.pace(ask.Cold)
-	if !bounded || ask.Within < 0 {
-		return Answer{}
+func (s *FallbackIssuer) Take(now time.Time, request Request, share float64) Reply {
+	known := server{limit: knownLimit{state: request.LimitReport.State}}
+	p, bounded := known.pace(request.ColdPerSecond)
+	if !bounded || request.MaxWait < 0 {
+		return Reply{}
 	}
-	if ask.Cold > 0 {
+	if request.ColdPerSecond > 0 {
 		// The bound of a cold backend server applies over one second, in which the life of a permit
 		// weighs more.
 		share /= 2
@@ -68,21 +68,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep(now)
-	slots, found := s.servers[ask.Server]
+	slots, found := s.servers[request.Server]
 	if !found {
 		slots = &slotSchedule{phase: s.random()}
-		s.servers[ask.Server] = slots
+		s.servers[request.Server] = slots
 	}
 	slots.lastRequest = now
-	wait, granted := slots.take(now, spacing, min(ask.Within, Ahead))
-	return Answer{Known: true, Granted: granted, Wait: wait, State: ask.Word.State}
+	wait, granted := slots.take(now, spacing, min(request.MaxWait, Horizon))
+	return Reply{Known: true, Granted: granted, Wait: wait, State: request.LimitReport.State}
 }
 
 // take takes the present slot if it is still valid and unused, or the next one if it comes within a
 // duration; wait is the time until then.
 func (s *slotSchedule) take(now time.Time, spacing, within time.Duration) (wait time.Duration, taken bool) {
 	began := now.Add(-time.Duration((now.UnixNano() - int64(s.phase*float64(spacing))) % int64(spacing)))
-	if now.Sub(began) < Life && began.After(s.lastUsed) {
+	if now.Sub(began) < PermitTTL && began.After(s.lastUsed) {
 		s.lastUsed = began
 		return 0, true
 	}
@@ -99,7 +99,7 @@
 }
 
 // sweep removes backend servers that are no longer used; the lock is held.
-func (s *StandIn) sweep(now time.Time) {
+func (s *FallbackIssuer) sweep(now time.Time) {
 	if now.Sub(s.lastSweep) < scheduleTTL {
 		return
 	}
--- a/src/ratelimit/standin_test.go
+++ b/src/ratelimit/fallback_test.go
@@ -17,9 +17,9 @@
 	draw := rand.New(rand.NewPCG(1, 52)).Float64
 	grantedBy := func(share float64, count int) (granted int) {
 		for range count {
-			s := NewStandIn(draw)
+			s := NewFallbackIssuer(draw)
 			for at := time.Duration(0); at < span*time.Second; at += 10 * time.Millisecond {
-				if s.Take(now.Add(at), Ask{Server: "r", Word: Word{State: limited(rate)}}, share).Granted {
+				if s.Take(now.Add(at), Request{Server: "r", LimitReport: LimitReport{State: limited(rate)}}, share).Granted {
 					granted++
 				}
 			}
--- a/src/ratelimit/issuer.go
+++ b/src/ratelimit/issuer.go
@@ -26,22 +26,22 @@
 	Since time.Time
 }
 
-// Ask is a gateway's request for a permit for one request.
-type Ask struct {
+// Request is a gateway's request for a permit for one request.
+type Request struct {
 	Server string
-	// Cold is the number of requests a second that a cold backend server accepts, 0 if it is not
+	// ColdPerSecond is the number of requests a second that a cold backend server accepts, 0 if it is not
 	// cold or has no such limit.
-	Cold float64
-	Word Word
-	// Within is the longest time that the request can wait; below 0 if the gateway only reports a
+	ColdPerSecond float64
+	LimitReport   LimitReport
+	// MaxWait is the longest time that the request can wait; below 0 if the gateway only reports a
 	// limit.
-	Within time.Duration
+	MaxWait time.Duration
 	// Priority is the request's priority, 0 for the most urgent.
 	Priority int
 }
 
-// Answer is the issuer's reply to an Ask.
-type Answer struct {
+// Reply is the issuer's reply to a Request.
+type Reply struct {
 	// Known is false if this node may not issue permits.
 	Known   bool
 	Granted bool
@@ -95,11 +95,11 @@
 
 // maxWait returns how far ahead a request may get a permit. Requests of lower priority than others
 // seen recently look less far ahead, so that scarce permits go to the more urgent ones.
-func (s *server) maxWait(now time.Time, ask Ask) time.Duration {
-	if ask.Priority <= s.topPriority || now.Sub(s.topPriorityAt) > priorityWindow {
-		s.topPriority, s.topPriorityAt = ask.Priority, now
+func (s *server) maxWait(now time.Time, request Request) time.Duration {
+	if request.Priority <= s.topPriority || now.Sub(s.topPriorityAt) > priorityWindow {
+		s.topPriority, s.topPriorityAt = request.Priority, now
 	}
-	return min(ask.Within, Ahead/time.Duration(1+ask.Priority-s.topPriority))
+	return min(request.MaxWait, Horizon/time.Duration(1+request.Priority-s.topPriority))
 }
 
 // NewIssuer returns an issuer without limits or permits; onChange may be nil.
@@ -112,32 +112,32 @@
 
 // Take processes the limit that a gateway reports and issues a permit for its request. A backend
 // server that is neither cold nor limited needs no permits, so the request is granted at once.
-func (i *Issuer) Take(now time.Time, ask Ask) Answer {
+func (i *Issuer) Take(now time.Time, request Request) Reply {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	lead := i.leadership()
 	if !lead.Self {
-		return Answer{}
+		return Reply{}
 	}
 	i.lead(lead.Term)
 	i.sweep(now)
-	s, found := i.servers[ask.Server]
+	s, found := i.servers[request.Server]
 	if !found {
 		s = &server{limitSince: now}
-		i.servers[ask.Server] = s
+		i.servers[request.Server] = s
 	}
 	s.lastRequest = now
-	i.observe(now, ask, s)
-	answer := Answer{Known: true, State: s.limit.state, Term: i.term, Version: i.version}
-	p, bounded := s.pace(ask.Cold)
-	if !bounded || ask.Within < 0 {
+	i.observe(now, request, s)
+	answer := Reply{Known: true, State: s.limit.state, Term: i.term, Version: i.version}
+	p, bounded := s.pace(request.ColdPerSecond)
+	if !bounded || request.MaxWait < 0 {
 		answer.Granted = !bounded
 		return answer
 	}
 	if s.schedule.next.IsZero() {
-		s.schedule.reset(later(now, lead.Since.Add(Ahead)), p)
+		s.schedule.reset(later(now, lead.Since.Add(Horizon)), p)
 	}
-	answer.Wait, answer.Granted = s.schedule.take(now, p, s.maxWait(now, ask))
+	answer.Wait, answer.Granted = s.schedule.take(now, p, s.maxWait(now, request))
 	if answer.Granted {
 		i.lastPermit++
 		answer.Permit = i.lastPermit
@@ -156,15 +156,15 @@
 }
 
 // observe processes the limit that a gateway reports; the lock is held.
-func (i *Issuer) observe(now time.Time, ask Ask, s *server) {
+func (i *Issuer) observe(now time.Time, request Request, s *server) {
 	before := s.limit.state
-	if !s.limit.update(i.term, i.lastPermit, ask.Word) {
+	if !s.limit.update(i.term, i.lastPermit, request.LimitReport) {
 		return
 	}
 	i.version++
-	i.onChange(Change{Server: ask.Server, Before: before, After: s.limit.state, Age: now.Sub(s.limitSince)})
+	i.onChange(Change{Server: request.Server, Before: before, After: s.limit.state, Age: now.Sub(s.limitSince)})
 	s.limitSince = now
-	if p, bounded := s.pace(ask.Cold); bounded && !before.Limited && !s.schedule.next.IsZero() {
+	if p, bounded := s.pace(request.ColdPerSecond); bounded && !before.Limited && !s.schedule.next.IsZero() {
 		// Requests sent before the limit was known are not counted, so no burst is allowed on top
 		// of them.
 		s.schedule.reset(later(now, s.schedule.next), p)
@@ -184,15 +184,15 @@
 	return pace{}, false
 }
 
-// Told is the limit of a backend server, as gateways are told of it.
-type Told struct {
+// ServerLimit is the limit of a backend server, as gateways are told of it.
+type ServerLimit struct {
 	Server string
 	State  State
 }
 
 // Limits returns the limits in force and those that ended within endedWithin, the most recently
 // changed first and at most maxCount; none while the node does not lead.
-func (i *Issuer) Limits(now time.Time, maxCount int, endedWithin time.Duration) (term, version uint64, limits []Told) {
+func (i *Issuer) Limits(now time.Time, maxCount int, endedWithin time.Duration) (term, version uint64, limits []ServerLimit) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if lead := i.leadership(); !lead.Self || lead.Term != i.term {
@@ -200,7 +200,7 @@
 	}
 	for name, s := range i.servers {
 		if s.limit.state.Limited || s.limit.known && now.Sub(s.limitSince) < endedWithin {
-			limits = append(limits, Told{Server: name, State: s.limit.state})
+			limits = append(limits, ServerLimit{Server: name, State: s.limit.state})
 		}
 	}
 	i.sortByChange(limits)
@@ -223,8 +223,8 @@
 
 // sortByChange sorts limits by the time of their last change, the most recent first; the lock is
 // held.
-func (i *Issuer) sortByChange(limits []Told) {
-	slices.SortFunc(limits, func(a, b Told) int {
+func (i *Issuer) sortByChange(limits []ServerLimit) {
+	slices.SortFunc(limits, func(a, b ServerLimit) int {
 		return cmp.Or(i.servers[b.Server].limitSince.Compare(i.servers[a.Server].limitSince), cmp.Compare(a.Server, b.Server))
 	})
 }
--- a/src/ratelimit/issuer_test.go
+++ b/src/ratelimit/issuer_test.go
@@ -53,16 +53,18 @@
 	now := time.Unix(1_800_000_000, 0)
 	lead := Leadership{Self: true, Term: 1, Since: now.Add(-time.Hour)}
 	i := NewIssuer(func() Leadership { return lead }, nil)
-	ask := func(within time.Duration) Answer { return i.Take(now, Ask{Server: "r", Cold: 4, Within: within}) }
-	is.Equal(ask(0), Answer{Known: true, Granted: true, Term: 1, Permit: 1})
-	is.Equal(ask(0), Answer{Known: true, Wait: 250 * time.Millisecond, Term: 1})
-	is.Equal(ask(time.Second), Answer{Known: true, Granted: true, Wait: 250 * time.Millisecond, Term: 1, Permit: 2})
-	is.Equal(ask(time.Second), Answer{Known: true, Granted: true, Wait: 500 * time.Millisecond, Term: 1, Permit: 3})
-	is.Equal(ask(time.Second), Answer{Known: true, Wait: 750 * time.Millisecond, Term: 1}) // too far ahead
+	ask := func(within time.Duration) Reply {
+		return i.Take(now, Request{Server: "r", ColdPerSecond: 4, MaxWait: within})
+	}
+	is.Equal(ask(0), Reply{Known: true, Granted: true, Term: 1, Permit: 1})
+	is.Equal(ask(0), Reply{Known: true, Wait: 250 * time.Millisecond, Term: 1})
+	is.Equal(ask(time.Second), Reply{Known: true, Granted: true, Wait: 250 * time.Millisecond, Term: 1, Permit: 2})
+	is.Equal(ask(time.Second), Reply{Known: true, Granted: true, Wait: 500 * time.Millisecond, Term: 1, Permit: 3})
+	is.Equal(ask(time.Second), Reply{Known: true, Wait: 750 * time.Millisecond, Term: 1}) // too far ahead
 	lead = Leadership{Self: true, Term: 2, Since: now}
-	is.Equal(ask(time.Second), Answer{Known: true, Granted: true, Wait: Ahead, Term: 2, Permit: 1})
+	is.Equal(ask(time.Second), Reply{Known: true, Granted: true, Wait: Horizon, Term: 2, Permit: 1})
 	lead.Self = false
-	is.Equal(i.Take(now.Add(time.Hour), Ask{Server: "r", Cold: 4, Within: time.Second}), Answer{})
+	is.Equal(i.Take(now.Add(time.Hour), Request{Server: "r", ColdPerSecond: 4, MaxWait: time.Second}), Reply{})
 }
 
 // TestWaysToKeepTheBound compares simulated permits with two calculated alternatives: an equal
@@ -104,7 +106,7 @@
 			}
 			for n := 0; b.Loop(); n++ {
 				now = now.Add(10 * time.Microsecond)
-				i.Take(now, Ask{Server: names[n%servers], Cold: 11, Within: time.Second})
+				i.Take(now, Request{Server: names[n%servers], ColdPerSecond: 11, MaxWait: time.Second})
 			}
 		})
 	}
--- a/src/ratelimit/limit_test.go
+++ b/src/ratelimit/limit_test.go
@@ -18,20 +18,20 @@
 func TestTheSlowerPaceApplies(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	count := func(i *Issuer, at time.Time, ask Ask) (granted int) {
+	count := func(i *Issuer, at time.Time, ask Request) (granted int) {
 		for i.Take(at, ask).Granted {
 			granted++
 		}
 		return granted
 	}
-	limit := Word{State: limited(5)}
+	limit := LimitReport{State: limited(5)}
 	i := newLeadingIssuer(now)
-	is.Equal(count(i, now, Ask{Server: "r", Word: limit}), 1)
-	is.Equal(count(i, now.Add(time.Minute), Ask{Server: "r", Word: limit}), 6)
+	is.Equal(count(i, now, Request{Server: "r", LimitReport: limit}), 1)
+	is.Equal(count(i, now.Add(time.Minute), Request{Server: "r", LimitReport: limit}), 6)
 	i = newLeadingIssuer(now)
-	is.Equal(count(i, now, Ask{Server: "r", Word: limit, Cold: 2}), 1)
-	is.Equal(count(i, now.Add(time.Minute), Ask{Server: "r", Word: limit, Cold: 2}), 1)
-	is.Equal(i.Take(now.Add(time.Minute), Ask{Server: "r", Word: limit, Cold: 2}).Wait, 500*time.Millisecond)
+	is.Equal(count(i, now, Request{Server: "r", LimitReport: limit, ColdPerSecond: 2}), 1)
+	is.Equal(count(i, now.Add(time.Minute), Request{Server: "r", LimitReport: limit, ColdPerSecond: 2}), 1)
+	is.Equal(i.Take(now.Add(time.Minute), Request{Server: "r", LimitReport: limit, ColdPerSecond: 2}).Wait, 500*time.Millisecond)
 }
 
 // A request is let through once a second, so that the end of the limit is noticed.
@@ -41,7 +41,7 @@
 	for _, perSecond := range []float64{0, 0.01, 1} {
 		i, granted := newLeadingIssuer(now), 0
 		for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
-			if i.Take(now.Add(at), Ask{Server: "r", Word: Word{State: limited(perSecond)}}).Granted {
+			if i.Take(now.Add(at), Request{Server: "r", LimitReport: LimitReport{State: limited(perSecond)}}).Granted {
 				granted++
 			}
 		}
@@ -56,7 +56,7 @@
 	var granted [3]int
 	for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
 		for priority := 2; priority >= 0; priority-- {
-			ask := Ask{Server: "r", Word: Word{State: limited(10)}, Within: Ahead, Priority: priority}
+			ask := Request{Server: "r", LimitReport: LimitReport{State: limited(10)}, MaxWait: Horizon, Priority: priority}
 			if i.Take(now.Add(at), ask).Granted {
 				granted[priority]++
 			}
@@ -71,10 +71,10 @@
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	i := newLeadingIssuer(now)
-	ask := Ask{Server: "r", Word: Word{State: limited(2)}, Within: Ahead, Priority: 7}
+	ask := Request{Server: "r", LimitReport: LimitReport{State: limited(2)}, MaxWait: Horizon, Priority: 7}
 	is.True(i.Take(now, ask).Granted)
 	urgent := ask
-	urgent.Priority, urgent.Within = 0, 0
+	urgent.Priority, urgent.MaxWait = 0, 0
 	is.True(!i.Take(now, urgent).Granted)
 	is.True(!i.Take(now.Add(100*time.Millisecond), ask).Granted) // 0.4 s ahead
 	is.True(i.Take(now.Add(1200*time.Millisecond), ask).Granted)
@@ -87,10 +87,10 @@
 	now := time.Unix(1_800_000_000, 0)
 	i := newLeadingIssuer(now)
 	for range 5 {
-		got := i.Take(now, Ask{Server: "r", Within: -1, Word: Word{State: limited(2), Heard: true}})
-		is.Equal(got, Answer{Known: true, State: limited(2), Term: 1, Version: 1})
+		got := i.Take(now, Request{Server: "r", MaxWait: -1, LimitReport: LimitReport{State: limited(2), FromResponse: true}})
+		is.Equal(got, Reply{Known: true, State: limited(2), Term: 1, Version: 1})
 	}
-	is.True(i.Take(now, Ask{Server: "r"}).Granted)
+	is.True(i.Take(now, Request{Server: "r"}).Granted)
 }
 
 // TestABurstServesMoreCallers checks that permits with a burst serve at least as many callers as
@@ -118,7 +118,7 @@
 	arrived, served := 0, 0
 	for at := time.Duration(0); at < span; at += time.Duration(random.ExpFloat64() / (load * perSecond) * float64(time.Second)) {
 		arrived++
-		if _, taken := s.take(start.Add(at), p, Ahead); taken {
+		if _, taken := s.take(start.Add(at), p, Horizon); taken {
 			served++
 		}
 	}
--- a/src/ratelimit/limitstate.go
+++ b/src/ratelimit/limitstate.go
@@ -22,12 +22,12 @@
 	return s.Limited && (!than.Limited || s.PerSecond < than.PerSecond)
 }
 
-// Word is a gateway's report of a backend server's limit.
-type Word struct {
+// LimitReport is a gateway's report of a backend server's limit.
+type LimitReport struct {
 	State
-	// Heard is set if the limit was read from an answer of the backend server; otherwise it is what
+	// FromResponse is set if the limit was read from an answer of the backend server; otherwise it is what
 	// the gateway knew before.
-	Heard bool
+	FromResponse bool
 	// Term and Permit identify the permit of the answered request, 0 if it had none.
 	Term, Permit uint64
 }
@@ -49,8 +49,8 @@
 // Answers arrive out of order, and the clocks of hosts differ. An answer to a request with a permit
 // was given after the permit was issued, so the answer to the later permit wins. An answer to a
 // request without a permit counts as new if it announces a stricter limit, and is ignored otherwise.
-func (k *knownLimit) update(term, newest uint64, w Word) (changed bool) {
-	if !w.Heard {
+func (k *knownLimit) update(term, newest uint64, w LimitReport) (changed bool) {
+	if !w.FromResponse {
 		return k.restore(newest, w.State)
 	}
 	permit := w.Permit
--- a/src/ratelimit/schedule.go
+++ b/src/ratelimit/schedule.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	// Life is how long a permit may be used once its time has come: a few round trips to the
+	// PermitTTL is how long a permit may be used once its time has come: a few round trips to the
 	// leader. The number of requests above the rate in any second is proportional to it.
-	Life = 250 * time.Millisecond
-	// Ahead is how far ahead permits are issued. A new leader issues none for that long, since
+	PermitTTL = 250 * time.Millisecond
+	// Horizon is how far ahead permits are issued. A new leader issues none for that long, since
 	// permits of the previous one may still be used.
-	Ahead = 500 * time.Millisecond
+	Horizon = 500 * time.Millisecond
 	// ProbeRate is the lowest rate of permits a second for a backend server that announced a limit,
 	// since only an answer shows that the limit has changed.
 	ProbeRate = 1.0
--- a/src/ratelimit/simulation_test.go
+++ b/src/ratelimit/simulation_test.go
@@ -16,7 +16,7 @@
 	at          time.Time
 	gateway     int
 	requestedAt time.Time
-	answer      *Answer
+	answer      *Reply
 	// maxWait is how long the request can wait.
 	maxWait time.Duration
 }
@@ -132,7 +132,7 @@
 			w.messages = append(w.messages, m)
 		case m.answer == nil:
 			for _, l := range w.leaderTerms {
-				if got := w.issuers[l.term].Take(w.now, Ask{Server: "r", Cold: w.rate, Within: m.maxWait}); got.Known {
+				if got := w.issuers[l.term].Take(w.now, Request{Server: "r", ColdPerSecond: w.rate, MaxWait: m.maxWait}); got.Known {
 					m.at, m.answer = w.now.Add(w.delay()), &got
 					if w.now.After(w.delayFrom) && w.now.Before(w.delayUntil) {
 						m.at = w.delayUntil
@@ -168,7 +168,7 @@
 		switch {
 		case w.now.Before(p.from) || w.now.Before(w.pausedUntil[p.gateway]):
 			w.permits = append(w.permits, p)
-		case w.now.Before(p.requestedAt.Add(p.wait + Life)):
+		case w.now.Before(p.requestedAt.Add(p.wait + PermitTTL)):
 			w.arrivals = append(w.arrivals, w.now)
 		}
 	}
--- a/src/registry/builds_test.go
+++ b/src/registry/builds_test.go
@@ -25,12 +25,12 @@
 // latestBuild is the build whose encoding equals the current one.
 const latestBuild = "595d13f"
 
-// storedRecord returns the record in all kept files. Builds without starts leave out Name and Born.
+// storedRecord returns the record in all kept files. Builds without incarnations leave out Name and StartedMS.
 func storedRecord() Record {
 	return Record{
-		ID: "i-1@1800000000123", Name: "i-1", Born: 1_800_000_000_123, Service: "s", Address: "192.0.2.1:8080", Zone: "z", Version: "v1",
+		ID: "i-1@1800000000123", Name: "i-1", StartedMS: 1_800_000_000_123, Service: "s", Address: "192.0.2.1:8080", Zone: "z", Version: "v1",
 		Slots: 8, Sequence: 41, Draining: true, RemainingMS: 2000, ColdMS: 300, Stage: "both",
-		Models: []Held{{Name: "m", Version: 2, Adapters: []string{"a1"}}}, InMemory: []string{"n"}, OnDisk: []string{"m", "n"},
+		Models: []LoadedModel{{Name: "m", Version: 2, Adapters: []string{"a1"}}}, InMemory: []string{"n"}, OnDisk: []string{"m", "n"},
 	}
 }
 
@@ -52,11 +52,11 @@
 			is := is.New(t)
 			want := storedRecord()
 			if !build.starts {
-				want.ID, want.Name, want.Born = "i-1", "", 0
+				want.ID, want.Name, want.StartedMS = "i-1", "", 0
 			}
-			var standing Standing
+			var standing ReplicaStatus
 			is.NoErr(json.Unmarshal(readBuildFile(t, build.commit, "standing.json"), &standing))
-			is.Equal(standing, Standing{Record: want, Recalled: true})
+			is.Equal(standing, ReplicaStatus{Record: want, Recalled: true})
 			var record Record
 			is.NoErr(cbor.Unmarshal(readBuildFile(t, build.commit, "record.cbor"), &record))
 			is.Equal(record, want)
@@ -68,7 +68,7 @@
 // what older builds do with the new encoding.
 func TestEncodingMatchesTheLatestBuild(t *testing.T) {
 	is := is.New(t)
-	message, err := json.Marshal(Standing{Record: storedRecord(), Recalled: true})
+	message, err := json.Marshal(ReplicaStatus{Record: storedRecord(), Recalled: true})
 	is.NoErr(err)
 	is.Equal(string(message), string(readBuildFile(t, latestBuild, "standing.json")))
 	disk, err := cbor.Marshal(storedRecord())
--- a/src/registry/directory.go
+++ b/src/registry/directory.go
@@ -76,13 +76,13 @@
 func (d *Directory) Stamp() uint64 { return d.stamp }
 
 // Apply merges standings reported by a source.
-func (d *Directory) Apply(now time.Time, source string, standings []Standing) {
+func (d *Directory) Apply(now time.Time, source string, standings []ReplicaStatus) {
 	for i := range standings {
 		d.apply(now, source, standings[i])
 	}
 }
 
-func (d *Directory) apply(now time.Time, source string, s Standing) {
+func (d *Directory) apply(now time.Time, source string, s ReplicaStatus) {
 	known := d.entries[s.Record.ID]
 	if known == nil {
 		known = d.add(now, s)
@@ -103,7 +103,7 @@
 }
 
 // add adds a replica that was not known.
-func (d *Directory) add(now time.Time, s Standing) *entry {
+func (d *Directory) add(now time.Time, s ReplicaStatus) *entry {
 	d.order++
 	added := &entry{record: s.Record, silentBy: map[string]bool{}, replaced: s.Replaced, unconfirmed: s.unconfirmed(), firstSeen: now, order: d.order}
 	d.entries[s.Record.ID] = added
@@ -115,7 +115,7 @@
 }
 
 // merge updates a known replica with a source's report.
-func (d *Directory) merge(known *entry, s Standing) {
+func (d *Directory) merge(known *entry, s ReplicaStatus) {
 	before, replaced := known.record, known.replaced
 	if s.Record.Sequence > known.record.Sequence {
 		known.record.update(s.Record)
@@ -305,7 +305,7 @@
 
 // Since returns the routing records of the replicas that changed after a stamp, in the order in
 // which the directory learned of them: of two at one address the later one owns it.
-func (d *Directory) Since(stamp uint64) []Standing {
+func (d *Directory) Since(stamp uint64) []ReplicaStatus {
 	var changed []*entry
 	for _, known := range d.entries {
 		if known.stamp > stamp {
@@ -313,10 +313,10 @@
 		}
 	}
 	sort.Slice(changed, func(i, j int) bool { return changed[i].order < changed[j].order })
-	standings := make([]Standing, 0, len(changed))
+	standings := make([]ReplicaStatus, 0, len(changed))
 	for _, e := range changed {
 		silent := e.silent()
-		standings = append(standings, Standing{Record: e.record.routingRecord(), Silent: silent, Recalled: e.unconfirmed && !silent, Replaced: e.replaced, Owner: e.contested && !e.replaced})
+		standings = append(standings, ReplicaStatus{Record: e.record.routingRecord(), Silent: silent, Recalled: e.unconfirmed && !silent, Replaced: e.replaced, Owner: e.contested && !e.replaced})
 	}
 	return standings
 }
--- a/src/registry/incarnation_test.go
+++ b/src/registry/incarnation_test.go
@@ -13,8 +13,8 @@
 
 // heartbeat returns a heartbeat of one start of a replica.
 func heartbeat(name string, born int64, sequence uint64, address string) Record {
-	incarnation := Incarnation{Name: name, Born: born}
-	return Record{ID: incarnation.ID(), Name: name, Born: born, Service: "s", Address: address, Sequence: sequence}
+	incarnation := Incarnation{Name: name, StartedMS: born}
+	return Record{ID: incarnation.ID(), Name: name, StartedMS: born, Service: "s", Address: address, Sequence: sequence}
 }
 
 // usableStarts returns the starts of a name that may get requests.
@@ -22,7 +22,7 @@
 	var born []int64
 	for _, e := range d.Entries() {
 		if e.Record.ReplicaName() == name && e.Usable() {
-			born = append(born, e.Record.Born)
+			born = append(born, e.Record.StartedMS)
 		}
 	}
 	return born
@@ -54,7 +54,7 @@
 			address := fmt.Sprint("a:", born%2) // different starts share addresses
 			record := heartbeat("i", born, sequence[born], address)
 			record.Draining = drained[born]
-			record.Models = []Held{{Name: fmt.Sprint("of-", born)}}
+			record.Models = []LoadedModel{{Name: fmt.Sprint("of-", born)}}
 			tables[node].Hear(now, record)
 		}
 		for born := int64(1); born <= latest; born++ {
@@ -83,7 +83,7 @@
 				t.Fatalf("starts %v are usable, want %d alone", born, latest)
 			}
 			for _, e := range d.Entries() {
-				if e.Record.Born == latest && !e.Record.Holds(fmt.Sprint("of-", latest), "") {
+				if e.Record.StartedMS == latest && !e.Record.Holds(fmt.Sprint("of-", latest), "") {
 					t.Fatalf("the latest start has the models %v", e.Record.Models)
 				}
 			}
@@ -101,12 +101,12 @@
 	table.Hear(testStart, heartbeat("i", 9, 1, "a:1"))
 	leaver, found := table.EndingStart("i")
 	is.True(found)
-	is.Equal(leaver.Born, int64(7)) // the late notice of the draining start
+	is.Equal(leaver.StartedMS, int64(7)) // the late notice of the draining start
 	table.ApplyForwarded(testStart, Record{ID: "i", Gone: true})
 	is.True(table.Leaving("i@7"))
 	is.True(!table.Leaving("i@9"))
 	leaver, _ = table.EndingStart("i")
-	is.Equal(leaver.Born, int64(9)) // the next notice refers to the running start
+	is.Equal(leaver.StartedMS, int64(9)) // the next notice refers to the running start
 	_, found = table.EndingStart("other")
 	is.True(!found)
 }
@@ -117,12 +117,12 @@
 func TestStartWithClockSetBackIsUsedOnceTheOtherIsSilent(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 7, "a:1")}})
-	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 7, 1, "a:1")}})
+	d.Apply(testStart, "node", []ReplicaStatus{{Record: heartbeat("i", 9, 7, "a:1")}})
+	d.Apply(testStart, "node", []ReplicaStatus{{Record: heartbeat("i", 7, 1, "a:1")}})
 	is.Equal(usableStarts(d, "i"), []int64{9})
-	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 7, "a:1"), Silent: true}})
+	d.Apply(testStart, "node", []ReplicaStatus{{Record: heartbeat("i", 9, 7, "a:1"), Silent: true}})
 	is.Equal(usableStarts(d, "i"), []int64{7})
-	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 8, "a:1")}})
+	d.Apply(testStart, "node", []ReplicaStatus{{Record: heartbeat("i", 9, 8, "a:1")}})
 	is.Equal(usableStarts(d, "i"), []int64{9}) // it was cut off and sends heartbeats again
 }
 
@@ -131,11 +131,11 @@
 func TestReplicaWithoutStartTimeIsIdentifiedByName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Incarnation{Name: "i"}.ID(), "i")
-	is.Equal(Incarnation{Name: "i", Born: 7}.ID(), "i@7")
+	is.Equal(Incarnation{Name: "i", StartedMS: 7}.ID(), "i@7")
 	table := NewTable(Times{Silence: 5 * time.Second, Forget: time.Minute})
 	table.Hear(testStart, heartbeat("i", 0, 4, "a:1"))
 	is.True(!table.Hear(testStart, heartbeat("i", 0, 3, "a:2"))) // a late heartbeat
 	d := NewDirectory(time.Minute)
-	d.Apply(testStart, "node", []Standing{{Record: heartbeat("i", 9, 1, "a:1")}, {Record: heartbeat("i", 0, 5, "a:2")}})
+	d.Apply(testStart, "node", []ReplicaStatus{{Record: heartbeat("i", 9, 1, "a:1")}, {Record: heartbeat("i", 0, 5, "a:2")}})
 	is.Equal(usableStarts(d, "i"), []int64{9}) // a start with a time is preferred to one without
 }
--- a/src/registry/recall_test.go
+++ b/src/registry/recall_test.go
@@ -51,8 +51,8 @@
 func TestARecalledReplicaDoesNotTakeAnAddressBack(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "new", Address: "x"}}})
-	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "old", Address: "x"}, Recalled: true}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "new", Address: "x"}}})
+	d.Apply(baseTime, "m", []ReplicaStatus{{Record: Record{ID: "old", Address: "x"}, Recalled: true}})
 	is.Equal(usable(d), map[string]bool{"new": true})
 }
 
@@ -88,9 +88,9 @@
 func TestAReplacedIncarnationKeepsNoAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "earlier", Address: "x"}, Recalled: true}})
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "later", Address: "x"}, Recalled: true}})
-	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "earlier", Address: "x"}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "earlier", Address: "x"}, Recalled: true}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "later", Address: "x"}, Recalled: true}})
+	d.Apply(baseTime, "m", []ReplicaStatus{{Record: Record{ID: "earlier", Address: "x"}}})
 	follower := NewDirectory(time.Minute)
 	follower.Apply(baseTime, "relay", d.Since(0))
 	is.Equal(usable(d), map[string]bool{"later": true})
--- a/src/registry/record.go
+++ b/src/registry/record.go
@@ -11,15 +11,15 @@
 	ID string `json:"id"`
 	// Name is the replica's own name, "" if it equals ID.
 	Name string `json:"name,omitempty"`
-	// Born is the Unix time in milliseconds at which the replica started; 0 if it does not report
+	// StartedMS is the Unix time in milliseconds at which the replica started; 0 if it does not report
 	// it.
-	Born     int64  `json:"born,omitempty"`
-	Service  string `json:"service"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Version  string `json:"version,omitempty"`
-	Slots    int    `json:"slots"`
-	Sequence uint64 `json:"sequence"`
+	StartedMS int64  `json:"born,omitempty"`
+	Service   string `json:"service"`
+	Address   string `json:"address"`
+	Zone      string `json:"zone"`
+	Version   string `json:"version,omitempty"`
+	Slots     int    `json:"slots"`
+	Sequence  uint64 `json:"sequence"`
 	// Draining is set when the replica accepts no new requests.
 	Draining bool `json:"draining,omitempty"`
 	// Gone is set when the replica has ended or has announced that it will.
@@ -32,7 +32,7 @@
 	ColdMS int64  `json:"coldMs,omitempty"`
 	Stage  string `json:"stage,omitempty"`
 	// Models are the models loaded on the accelerators now.
-	Models []Held `json:"models,omitempty"`
+	Models []LoadedModel `json:"models,omitempty"`
 	// InMemory and OnDisk list the models whose weights can be loaded without the weight store.
 	InMemory []string `json:"inMemory,omitempty"`
 	OnDisk   []string `json:"onDisk,omitempty"`
@@ -43,21 +43,23 @@
 type Incarnation struct {
 	// Name is the replica's own name.
 	Name string
-	// Born is the Unix time in milliseconds of the start; 0 if the replica does not report it.
-	Born int64
+	// StartedMS is the Unix time in milliseconds of the start; 0 if the replica does not report it.
+	StartedMS int64
 }
 
 // ID returns a unique identifier of this start. All state of a replica is stored under it, so that
 // the state of an earlier start is never attributed to a later one.
 func (i Incarnation) ID() string {
-	if i.Born == 0 {
+	if i.StartedMS == 0 {
 		return i.Name
 	}
-	return i.Name + "@" + strconv.FormatInt(i.Born, 10)
+	return i.Name + "@" + strconv.FormatInt(i.StartedMS, 10)
 }
 
 // Incarnation returns the start of the replica that the record belongs to.
-func (r *Record) Incarnation() Incarnation { return Incarnation{Name: r.ReplicaName(), Born: r.Born} }
+func (r *Record) Incarnation() Incarnation {
+	return Incarnation{Name: r.ReplicaName(), StartedMS: r.StartedMS}
+}
 
 // ReplicaName returns the replica's own name.
 func (r *Record) ReplicaName() string {
@@ -77,14 +79,14 @@
 // to a later start. Among records of one name, a start that reports its time is later than one that
 // does not.
 func (r *Record) startedBefore(other *Record) bool {
-	if r.Born >= other.Born {
+	if r.StartedMS >= other.StartedMS {
 		return false
 	}
-	return r.Born > 0 || r.ReplicaName() == other.ReplicaName()
+	return r.StartedMS > 0 || r.ReplicaName() == other.ReplicaName()
 }
 
-// Held is a model loaded on a replica, with its loaded adapters.
-type Held struct {
+// LoadedModel is a model loaded on a replica, with its loaded adapters.
+type LoadedModel struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"version,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
@@ -133,6 +135,6 @@
 	return routing
 }
 
-func sameModel(a, b Held) bool {
+func sameModel(a, b LoadedModel) bool {
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -41,9 +41,9 @@
 func TestANewIncarnationTakesTheAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "old", Address: "x"}}})
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "new", Address: "x"}}})
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "old", Address: "x", Sequence: 9}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "old", Address: "x"}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "new", Address: "x"}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "old", Address: "x", Sequence: 9}}})
 	for _, e := range d.Entries() {
 		is.Equal(e.Usable(), e.Record.ID == "new")
 	}
@@ -52,16 +52,16 @@
 func TestOneNodeThatHearsAReplicaIsEnough(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}, Silent: true}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "a", Sequence: 1}, Silent: true}})
 	is.True(!d.Entries()[0].Usable())
-	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
+	d.Apply(baseTime, "m", []ReplicaStatus{{Record: Record{ID: "a", Sequence: 1}}})
 	is.True(d.Entries()[0].Usable())
 }
 
 func TestLostNodesAreTrustedOnlyWhileNoOtherIsInReach(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "a", Sequence: 1}}})
 	d.RemoveSource(baseTime, "n")
 	d.Sweep(baseTime.Add(10*time.Second), 5*time.Second, false)
 	is.True(d.Entries()[0].Usable())
@@ -125,7 +125,7 @@
 			case 1:
 				d.Sweep(now, 5*time.Second, rapid.Bool().Draw(t, "in reach"))
 			default:
-				d.Apply(now, source, []Standing{drawStanding(t)})
+				d.Apply(now, source, []ReplicaStatus{drawStanding(t)})
 			}
 			changes := d.Changes()
 			for _, e := range changes.Entries {
@@ -157,9 +157,9 @@
 
 // drawStanding draws a standing of one of three replicas, two of which had the same address one
 // after the other. An incarnation keeps its address.
-func drawStanding(t *rapid.T) Standing {
+func drawStanding(t *rapid.T) ReplicaStatus {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "replica")
-	return Standing{
+	return ReplicaStatus{
 		Record: Record{
 			ID:       id,
 			Address:  map[string]string{"a": "x", "b": "x", "c": "y"}[id],
@@ -178,10 +178,10 @@
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
 	alive, dead := Record{ID: "i-new", Address: "10.0.0.1:80"}, Record{ID: "i-old", Address: "10.0.0.1:80"}
-	d.Apply(baseTime, "a", []Standing{{Record: alive}})
-	d.Apply(baseTime, "b", []Standing{{Record: dead}})
+	d.Apply(baseTime, "a", []ReplicaStatus{{Record: alive}})
+	d.Apply(baseTime, "b", []ReplicaStatus{{Record: dead}})
 	is.Equal(usable(d), map[string]bool{"i-old": true}) // it is not known yet which one is running
-	d.Apply(baseTime.Add(5*time.Second), "b", []Standing{{Record: dead, Silent: true}})
+	d.Apply(baseTime.Add(5*time.Second), "b", []ReplicaStatus{{Record: dead, Silent: true}})
 	is.Equal(usable(d), map[string]bool{"i-new": true})
 	is.Equal(len(d.Since(d.Stamp()-1)), 1) // and gateways are sent the change
 }
--- a/src/registry/table.go
+++ b/src/registry/table.go
@@ -13,8 +13,8 @@
 	Forget time.Duration
 }
 
-// Standing is a replica's record together with its status as seen by one node.
-type Standing struct {
+// ReplicaStatus is a replica's record together with its status as seen by one node.
+type ReplicaStatus struct {
 	Record Record `json:"record"`
 	// Silent is set when the node has had no heartbeat of the replica for Times.Silence.
 	Silent bool `json:"silent,omitempty"`
@@ -31,7 +31,7 @@
 }
 
 // unconfirmed reports whether the replica may have ended without the node knowing.
-func (s *Standing) unconfirmed() bool { return s.Silent || s.Recalled }
+func (s *ReplicaStatus) unconfirmed() bool { return s.Silent || s.Recalled }
 
 // recallGrace is how long a replica restored after a restart counts as running without a heartbeat:
 // two of the usual intervals of 1.2 s, since the first heartbeat after a restart may be lost.
@@ -39,7 +39,7 @@
 
 // row is a table's entry for one replica.
 type row struct {
-	standing Standing
+	standing ReplicaStatus
 	heardAt  time.Time
 	// direct is set once the replica itself has sent this node a heartbeat.
 	direct bool
@@ -72,7 +72,7 @@
 		if t.rows[record.ID] != nil {
 			continue
 		}
-		known := &row{standing: Standing{Record: record, Recalled: true}, heardAt: now.Add(recallGrace - t.times.Silence)}
+		known := &row{standing: ReplicaStatus{Record: record, Recalled: true}, heardAt: now.Add(recallGrace - t.times.Silence)}
 		t.add(known)
 	}
 }
@@ -120,7 +120,7 @@
 		}
 	}
 	if known == nil {
-		known = &row{standing: Standing{Record: record, Silent: !direct}, heardAt: now, direct: direct}
+		known = &row{standing: ReplicaStatus{Record: record, Silent: !direct}, heardAt: now, direct: direct}
 		t.add(known)
 		return true
 	}
@@ -245,8 +245,8 @@
 
 // Since returns the replicas that changed after a stamp, in the order in which the node learned of
 // them: of two at one address the later one owns it.
-func (t *Table) Since(stamp uint64) []Standing {
-	var changed []Standing
+func (t *Table) Since(stamp uint64) []ReplicaStatus {
+	var changed []ReplicaStatus
 	for _, known := range t.sorted() {
 		if known.stamp > stamp {
 			changed = append(changed, known.standing)
--- a/src/store/quarantine_test.go
+++ b/src/store/quarantine_test.go
@@ -22,7 +22,7 @@
 	none, err := file.Load()
 	is.NoErr(err)
 	is.Equal(len(none), 0)
-	entries := []quarantine.Entry{{Digest: quarantine.Content{Target: "/x"}.Digest(), Round: 2, Ends: []string{"i-1@7", "i-2@9"}, AgeMS: 1500}}
+	entries := []quarantine.Entry{{Digest: quarantine.Content{Target: "/x"}.Digest(), Round: 2, Failures: []string{"i-1@7", "i-2@9"}, AgeMS: 1500}}
 	is.NoErr(file.Save(entries))
 	saved, err := folder.Quarantine().Load()
 	is.NoErr(err)
--- a/src/wire/admission.go
+++ b/src/wire/admission.go
@@ -35,23 +35,23 @@
 // QuotaShare is a control node's share of an account's quota.
 type QuotaShare struct {
 	Account string `json:"a"`
-	// Rate is the share in units per second, and Saved the units the node may accumulate.
+	// Rate is the share in units per second, and Burst the units the node may accumulate.
 	Rate  float64 `json:"r,omitempty"`
-	Saved float64 `json:"s,omitempty"`
-	// Demand is the recent demand in units per second, Typical the average units per request, and Spilled the
-	// units that expired unused. These three are set only in reports to the leader.
-	Demand  float64 `json:"d,omitempty"`
-	Typical float64 `json:"t,omitempty"`
-	Spilled float64 `json:"o,omitempty"`
+	Burst float64 `json:"s,omitempty"`
+	// Demand is the recent demand in units per second, UnitsPerRequest the average units per request, and
+	// Overflow the units that expired unused. These three are set only in reports to the leader.
+	Demand          float64 `json:"d,omitempty"`
+	UnitsPerRequest float64 `json:"t,omitempty"`
+	Overflow        float64 `json:"o,omitempty"`
 }
 
-// LeaseRequest is a control node's quota report to the leader. Life is different after each restart of
-// the node, and Sequence orders its reports.
+// LeaseRequest is a control node's quota report to the leader. Incarnation is different after each
+// restart of the node, and Sequence orders its reports.
 type LeaseRequest struct {
-	Node     string       `json:"node"`
-	Life     uint64       `json:"life"`
-	Sequence uint64       `json:"sequence"`
-	Shares   []QuotaShare `json:"shares,omitempty"`
+	Node        string       `json:"node"`
+	Incarnation uint64       `json:"life"`
+	Sequence    uint64       `json:"sequence"`
+	Shares      []QuotaShare `json:"shares,omitempty"`
 }
 
 // LeaseReply grants shares for a lease that starts when the request was sent. Known is set if the
@@ -69,20 +69,20 @@
 type QuotaUsage struct {
 	Account string `json:"a"`
 	// Used is the usage in each interval of the window, newest first. Level is the unused quota
-	// the account has accumulated, and Extended the units it has used ahead of accumulating them.
-	Used     []float64 `json:"u,omitempty"`
-	Level    float64   `json:"l,omitempty"`
-	Extended float64   `json:"e,omitempty"`
+	// the account has accumulated, and ExtensionUsed the units it has used ahead of accumulating them.
+	Used          []float64 `json:"u,omitempty"`
+	Level         float64   `json:"l,omitempty"`
+	ExtensionUsed float64   `json:"e,omitempty"`
 }
 
-// DrawRequest asks the leader for units outside the control nodes' shares.
-type DrawRequest struct {
+// ReserveRequest asks the leader for units outside the control nodes' shares.
+type ReserveRequest struct {
 	Account string  `json:"a"`
 	Units   float64 `json:"u"`
 }
 
-// DrawReply is the reply to a DrawRequest.
-type DrawReply struct {
+// ReserveReply is the reply to a ReserveRequest.
+type ReserveReply struct {
 	Admission Admission `json:"r,omitempty"`
 	WaitMS    int64     `json:"w,omitempty"`
 }
--- a/src/wire/dispatch.go
+++ b/src/wire/dispatch.go
@@ -13,8 +13,8 @@
 	Tried []string `json:"t,omitempty"`
 }
 
-// Within returns the time within which the request should be answered.
-func (r *PlaceRequest) Within() time.Duration { return time.Duration(r.WithinMS) * time.Millisecond }
+// TimeLeft returns the time within which the request should be answered.
+func (r *PlaceRequest) TimeLeft() time.Duration { return time.Duration(r.WithinMS) * time.Millisecond }
 
 // PlaceReply is the reply to a PlaceRequest. Known is false if no reachable node assigns slots.
 type PlaceReply struct {
--- a/src/wire/document.go
+++ b/src/wire/document.go
@@ -69,8 +69,8 @@
 	// Version is the newest configuration the node has applied.
 	Version uint64 `json:"version,omitempty"`
 	// Full is set in the first update of a stream: Standings is then complete.
-	Full      bool                `json:"full,omitempty"`
-	Standings []registry.Standing `json:"standings,omitempty"`
+	Full      bool                     `json:"full,omitempty"`
+	Standings []registry.ReplicaStatus `json:"standings,omitempty"`
 	// Members lists the control nodes if they changed.
 	Members []Member `json:"members,omitempty"`
 	// Leading is set by the leader, which places models.
--- a/src/wire/method.go
+++ b/src/wire/method.go
@@ -68,8 +68,8 @@
 	MethodAdmit = "quota.admit"
 	// MethodLease asks the leader for a control node's shares of all accounts' quotas.
 	MethodLease = "quota.lease"
-	// MethodDraw asks the leader for units outside the control nodes' shares.
-	MethodDraw = "quota.draw"
+	// MethodReserve asks the leader for units outside the control nodes' shares.
+	MethodReserve = "quota.draw"
 	// MethodPlace asks a control node for a slot on one of a service's replicas.
 	MethodPlace = "dispatch.place"
 	// MethodAssign asks the leader for such a slot.
--- a/src/wire/permit_test.go
+++ b/src/wire/permit_test.go
@@ -44,7 +44,7 @@
 	transcode(t, earlierPermitReply{Known: true, Granted: true, WaitUS: 5}, &reply)
 	is.Equal(reply, PermitReply{Known: true, Granted: true, WaitUS: 5})
 	var earlier earlierPermitRequest
-	transcode(t, PermitRequest{Service: "s", Replica: "r", WithinMS: 70, Warm: true, Limited: true, PerSecond: 5, Heard: true, Term: 2, Permit: 9}, &earlier)
+	transcode(t, PermitRequest{Service: "s", Replica: "r", WithinMS: 70, Warm: true, Limited: true, PerSecond: 5, FromResponse: true, Term: 2, Permit: 9}, &earlier)
 	is.Equal(earlier, earlierPermitRequest{Service: "s", Replica: "r", WithinMS: 70})
 	var earlierReply earlierPermitReply
 	transcode(t, PermitReply{Known: true, Granted: true, WaitUS: 5, Limits: true, Limited: true, PerSecond: 5, Term: 2, Version: 3, Permit: 9}, &earlierReply)
