--- a/src/admission/admission_test.go
+++ b/src/admission/admission_test.go
@@ -48,7 +48,7 @@
 			return Leadership{Self: n.hasMajority, Version: n.version, Term: 1, Members: []string{"l", "n"}}
 		},
 		Table: func() *catalog.Table {
-			return catalog.NewTable(catalog.Document{Keyed: true, Accounts: []catalog.Account{n.account}})
+			return catalog.NewTable(catalog.Document{KeysRequired: true, Accounts: []catalog.Account{n.account}})
 		},
 		Record: func(context.Context, string, float64) error { return n.recordError },
 		Leader: Leader{Lease: func(_ context.Context, r wire.LeaseRequest) (wire.LeaseReply, error) { return n.leader.Lease(r), nil }},
@@ -99,7 +99,7 @@
 	}
 }
 
-func (n *testCluster) trusted() bool { return n.gate.Trusted(n.now, n.version) }
+func (n *testCluster) trusted() bool { return n.gate.Confirmed(n.now, n.version) }
 
 func TestAGateTrustsAConfirmedVersion(t *testing.T) {
 	is := is.New(t)
@@ -107,8 +107,8 @@
 	is.True(!n.trusted())
 	n.run(time.Second)
 	is.True(n.trusted())
-	is.True(!n.gate.Trusted(n.now, 6)) // the gateway still uses an older version
-	is.True(n.gate.Trusted(n.now, 8))  // a version that the gateway learned from a faster node is newer
+	is.True(!n.gate.Confirmed(n.now, 6)) // the gateway still uses an older version
+	is.True(n.gate.Confirmed(n.now, 8))  // a version that the gateway learned from a faster node is newer
 }
 
 // Trust ends when gateway and control node, control node and leader, or leader and majority are
@@ -159,10 +159,10 @@
 	old := n.version
 	n.version++
 	n.run(time.Second)
-	is.True(n.gate.Trusted(n.now, old)) // for the rest of its trust time
+	is.True(n.gate.Confirmed(n.now, old)) // for the rest of its trust time
 	n.run(trustTime)
-	is.True(!n.gate.Trusted(n.now, old))
-	is.True(n.gate.Trusted(n.now, n.version))
+	is.True(!n.gate.Confirmed(n.now, old))
+	is.True(n.gate.Confirmed(n.now, n.version))
 }
 
 // An account gets its limit at once, once the leader has led for a window.
@@ -172,14 +172,14 @@
 	n.run(10 * time.Second)
 	granted := 0
 	for range 200 {
-		if n.gate.Admit(context.Background(), &n.account, 1).Admission == wire.Granted {
+		if n.gate.Admit(context.Background(), &n.account, 1).Admission == wire.AdmissionGranted {
 			granted++
 		}
 	}
 	is.True(granted >= 85)
 	is.True(granted <= 90) // 8 s at 10 a second and a burst of 10
 	verdict := n.gate.Admit(context.Background(), &n.account, 1)
-	is.Equal(verdict.Admission, wire.Spent)
+	is.Equal(verdict.Admission, wire.QuotaExhausted)
 	is.True(verdict.RetryAfter > 0)
 }
 
@@ -191,7 +191,7 @@
 	n.recordError = errDisconnected
 	began, granted := n.now, 0
 	for range 50 {
-		if n.gate.Admit(context.Background(), &n.account, 1).Admission == wire.Granted {
+		if n.gate.Admit(context.Background(), &n.account, 1).Admission == wire.AdmissionGranted {
 			granted++
 		}
 	}
@@ -203,11 +203,11 @@
 	n := newTestCluster()
 	n.run(time.Second)
 	verdict := n.gate.Admit(context.Background(), &n.account, 1)
-	is.Equal(verdict.Admission, wire.Granted)
+	is.Equal(verdict.Admission, wire.AdmissionGranted)
 	n.gate.Return("a", 1, verdict.Until)
 	n.nodeReachable = false
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Granted)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Unsure)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionGranted)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
 }
 
 func TestAGateBacksOffAfterAnUnansweredCall(t *testing.T) {
@@ -215,12 +215,12 @@
 	n := newTestCluster()
 	n.run(time.Second)
 	n.nodeReachable = false
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Unsure)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
 	n.nodeReachable = true
 	n.gate.unreachableUntil = n.now.Add(unreachableBackoff)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Unsure)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
 	n.now = n.now.Add(unreachableBackoff)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Granted)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionGranted)
 }
 
 // The shares leased to the zone's control node last for a while.
@@ -239,14 +239,14 @@
 	for range 20 {
 		n.now = n.now.Add(100 * time.Millisecond)
 		for range 4 {
-			if n.gate.Admit(context.Background(), &n.account, 1).Admission == wire.Granted {
+			if n.gate.Admit(context.Background(), &n.account, 1).Admission == wire.AdmissionGranted {
 				granted++
 			}
 		}
 	}
 	is.True(granted >= 60) // most of 80
 	n.now = n.now.Add(time.Second)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Unsure)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
 }
 
 // The first requests wait for as long as an election takes. Later ones are refused at once, with a
@@ -259,18 +259,18 @@
 	n.node.holder = quota.NewHolder("n", 2, n.node.options.Parameters) // it has no share
 	began := n.now
 	n.onSleep = func() { n.leaderReachable = n.now.Sub(began) > electionWait/2 }
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.Granted)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionGranted)
 	is.True(n.now.Sub(began) < electionWait)
 
 	n.leaderReachable, n.onSleep = false, nil
 	began = n.now
 	first := n.gate.Admit(context.Background(), &n.account, 1)
-	is.Equal(first.Admission, wire.Unsure)
+	is.Equal(first.Admission, wire.AdmissionUncertain)
 	is.True(n.now.Sub(began) < electionWait+unreachableBackoff)
 	n.now = n.now.Add(10 * time.Second)
 	began = n.now
 	later := n.gate.Admit(context.Background(), &n.account, 1)
-	is.Equal(later.Admission, wire.Unsure)
+	is.Equal(later.Admission, wire.AdmissionUncertain)
 	is.Equal(n.now, began)
 	is.True(later.RetryAfter > first.RetryAfter)
 }
--- a/src/admission/gate.go
+++ b/src/admission/gate.go
@@ -134,15 +134,15 @@
 	return true
 }
 
-// AwaitTrust waits until a version is trusted, at most as long as an expected election takes; it
+// AwaitConfirmation waits until a version is trusted, at most as long as an expected election takes; it
 // reports whether the version is trusted.
-func (g *Gate) AwaitTrust(ctx context.Context, version uint64) bool {
+func (g *Gate) AwaitConfirmation(ctx context.Context, version uint64) bool {
 	for {
-		if g.Trusted(g.options.Now(), version) {
+		if g.Confirmed(g.options.Now(), version) {
 			return true
 		}
 		g.Confirm(ctx)
-		if g.Trusted(g.options.Now(), version) {
+		if g.Confirmed(g.options.Now(), version) {
 			return true
 		}
 		if !g.waitForElection(ctx, "") {
@@ -183,9 +183,9 @@
 	return g.freshness.ConfirmedAt(version)
 }
 
-// Trusted reports whether a version was confirmed so recently that requests with a key may be
+// Confirmed reports whether a version was confirmed so recently that requests with a key may be
 // served by it.
-func (g *Gate) Trusted(now time.Time, version uint64) bool {
+func (g *Gate) Confirmed(now time.Time, version uint64) bool {
 	if g.options.Trust <= 0 {
 		return true
 	}
@@ -194,7 +194,7 @@
 
 // logTrustChange logs when the configuration ceases to be trusted, or is trusted again.
 func (g *Gate) logTrustChange(now time.Time, version uint64) {
-	trusted := g.Trusted(now, version)
+	trusted := g.Confirmed(now, version)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if trusted == g.trusted {
@@ -228,7 +228,7 @@
 func (g *Gate) Admit(ctx context.Context, account *catalog.Account, units float64) Verdict {
 	for {
 		verdict := g.admitOnce(ctx, account, units)
-		if verdict.Admission != wire.Unsure || !g.waitForElection(ctx, account.Name) {
+		if verdict.Admission != wire.AdmissionUncertain || !g.waitForElection(ctx, account.Name) {
 			return verdict
 		}
 	}
@@ -254,23 +254,23 @@
 	g.mu.Unlock()
 	switch {
 	case taken:
-		return Verdict{Admission: wire.Granted, Until: until}
+		return Verdict{Admission: wire.AdmissionGranted, Until: until}
 	case empty > 0:
-		return Verdict{Admission: wire.Spent, RetryAfter: addJitter(empty)}
+		return Verdict{Admission: wire.QuotaExhausted, RetryAfter: addJitter(empty)}
 	}
 	reply, err := g.ask(ctx, wire.AdmitRequest{Account: account.Name, Units: units})
-	if err != nil || reply.Admission == wire.Unsure {
+	if err != nil || reply.Admission == wire.AdmissionUncertain {
 		return Verdict{RetryAfter: g.noteUnsure(now, account.Name)}
 	}
 	g.clearUnsure(account.Name)
-	if reply.Admission == wire.Granted {
-		return Verdict{Admission: wire.Granted, Until: now.Add(g.options.GrantTTL)}
+	if reply.Admission == wire.AdmissionGranted {
+		return Verdict{Admission: wire.AdmissionGranted, Until: now.Add(g.options.GrantTTL)}
 	}
 	wait := min(time.Duration(reply.WaitMS)*time.Millisecond, maxRetryAfter)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.grants.SetExhausted(account.Name, g.options.Now().Add(min(wait, exhaustedTTL)), wait)
-	return Verdict{Admission: wire.Spent, RetryAfter: addJitter(wait)}
+	return Verdict{Admission: wire.QuotaExhausted, RetryAfter: addJitter(wait)}
 }
 
 // noteUnsure records that a request could not be admitted and returns when to retry.
--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -190,13 +190,13 @@
 	taken := g.holder.Take(now, request.Account, request.Units)
 	g.mu.Unlock()
 	if taken {
-		return wire.Granted, 0
+		return wire.AdmissionGranted, 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
 	reply, err := g.options.Leader.Reserve(ctx, wire.ReserveRequest(request))
 	if err != nil {
-		return wire.Unsure, 0
+		return wire.AdmissionUncertain, 0
 	}
 	return reply.Admission, reply.WaitMS
 }
@@ -225,7 +225,7 @@
 	}
 	limit, limited := limitLookup(table)(request.Account)
 	if !limited {
-		return wire.ReserveReply{Admission: wire.Granted}
+		return wire.ReserveReply{Admission: wire.AdmissionGranted}
 	}
 	answer := g.takeUnits(&lead, request, limit)
 	if answer.Record > 0 {
@@ -233,11 +233,11 @@
 	}
 	switch {
 	case answer.Taken:
-		return wire.ReserveReply{Admission: wire.Granted}
+		return wire.ReserveReply{Admission: wire.AdmissionGranted}
 	case answer.Record > 0:
 		return wire.ReserveReply{}
 	}
-	return wire.ReserveReply{Admission: wire.Spent, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
+	return wire.ReserveReply{Admission: wire.QuotaExhausted, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
 }
 
 func (g *Granter) takeUnits(lead *Leadership, request wire.ReserveRequest, limit quota.Limit) quota.TakeResult {
--- a/src/capacity/measure.go
+++ b/src/capacity/measure.go
@@ -379,7 +379,7 @@
 				var reply wire.ClaimReply
 				request := wire.ClaimRequest{Key: fmt.Sprint("capacity-key-", n), Token: fmt.Sprint(n), Holder: "capacity"}
 				err := m.controlNodes[n%len(m.controlNodes)].Call(ctx, wire.MethodClaim, request, &reply)
-				if err == nil && reply.State != wire.ClaimYours {
+				if err == nil && reply.State != wire.ClaimAcquired {
 					err = errors.Errorf("a claim was %s %s", reply.Outcome, reply.State)
 				}
 				if err != nil {
--- a/src/catalog/account_test.go
+++ b/src/catalog/account_test.go
@@ -12,7 +12,7 @@
 
 func keyed(accounts ...Account) Document {
 	d := validDocument()
-	d.Keyed = true
+	d.KeysRequired = true
 	d.Accounts = accounts
 	return d
 }
@@ -35,7 +35,7 @@
 	is.Equal(len(Check(keyed(account("a", "k1", "k2"), account("b")))), 0)
 	findings := Check(keyed(account("a", "k1"), account("b", "k2", "k1")))
 	is.Equal(len(findings), 1)
-	is.Equal(findings[0].Place, `accounts[1] "b" keys[1]`)
+	is.Equal(findings[0].Location, `accounts[1] "b" keys[1]`)
 	is.True(strings.Contains(findings[0].Message, `"a"`) && strings.Contains(findings[0].Message, `"b"`))
 	for _, faulty := range []Document{
 		keyed(account("")),
--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -43,7 +43,7 @@
 			addFault(&d)
 			findings := Check(d)
 			is.True(len(findings) > 0)
-			is.True(findings[0].Place != "")
+			is.True(findings[0].Location != "")
 			is.True(findings.Error() != "")
 		})
 	}
@@ -52,10 +52,10 @@
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(validDocument())
-	is.Equal(table.Match("A.example:80", "/x/y/z").Name, "b")
-	is.Equal(table.Match("a.example", "/x/z").Name, "a")
-	is.True(table.Match("a.example", "/x") == nil)
-	is.True(table.Match("b.example", "/x/") == nil)
+	is.Equal(table.RouteFor("A.example:80", "/x/y/z").Name, "b")
+	is.Equal(table.RouteFor("a.example", "/x/z").Name, "a")
+	is.True(table.RouteFor("a.example", "/x") == nil)
+	is.True(table.RouteFor("b.example", "/x/") == nil)
 	is.Equal(table.Service("t").Name, "t")
 	is.True(table.Service("u") == nil)
 }
--- a/src/catalog/check.go
+++ b/src/catalog/check.go
@@ -7,8 +7,8 @@
 
 // Finding is an error in a document and its location.
 type Finding struct {
-	Place   string
-	Message string
+	Location string
+	Message  string
 }
 
 // Findings are the errors in a document. As an error value they list all of them.
@@ -18,7 +18,7 @@
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
-		lines = append(lines, finding.Place+": "+finding.Message)
+		lines = append(lines, finding.Location+": "+finding.Message)
 	}
 	return strings.Join(lines, "; ")
 }
@@ -53,7 +53,7 @@
 }
 
 func (c *checker) add(at, format string, arguments ...any) {
-	c.findings = append(c.findings, Finding{Place: at, Message: fmt.Sprintf(format, arguments...)})
+	c.findings = append(c.findings, Finding{Location: at, Message: fmt.Sprintf(format, arguments...)})
 }
 
 func (c *checker) service(i int, s Service) {
--- a/src/catalog/document.go
+++ b/src/catalog/document.go
@@ -22,10 +22,10 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed is set if requests need the key of a client account, even if there are no accounts.
+	// KeysRequired is set if requests need the key of a client account, even if there are no accounts.
 	// Without it there are none.
-	Keyed    bool
-	Accounts []Account
+	KeysRequired bool
+	Accounts     []Account
 }
 
 // Route maps the requests of a host and a path prefix to services.
--- a/src/catalog/table.go
+++ b/src/catalog/table.go
@@ -51,8 +51,8 @@
 // Service returns the service with a name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Keyed reports whether requests need the key of a client account.
-func (t *Table) Keyed() bool { return t.document.Keyed }
+// KeysRequired reports whether requests need the key of a client account.
+func (t *Table) KeysRequired() bool { return t.document.KeysRequired }
 
 // AccountOf returns the client account that holds a key, nil if there is none.
 func (t *Table) AccountOf(key Key) *Account { return t.byKey[key] }
@@ -60,8 +60,8 @@
 // Account returns the client account with a name, nil if there is none.
 func (t *Table) Account(name string) *Account { return t.accounts[name] }
 
-// Match returns the route of the host with the longest prefix of the path, nil if there is none.
-func (t *Table) Match(host, path string) *Route {
+// RouteFor returns the route of the host with the longest prefix of the path, nil if there is none.
+func (t *Table) RouteFor(host, path string) *Route {
 	for _, route := range t.routes[canonicalHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
--- a/src/cli/apply.go
+++ b/src/cli/apply.go
@@ -95,18 +95,18 @@
 	if err != nil {
 		return nil, config.Change{}, err
 	}
-	places := map[config.Key]config.Place{}
+	locations := map[config.Key]config.Location{}
 	var wanted []config.Object
 	for _, source := range sources {
 		key := source.Object().Key
-		if _, duplicate := places[key]; duplicate {
-			return nil, config.Change{}, refusedError(config.Findings{source.Place().At("name", key.String()+" is written twice")})
+		if _, duplicate := locations[key]; duplicate {
+			return nil, config.Change{}, refusedError(config.Findings{source.Location().At("name", key.String()+" is written twice")})
 		}
-		places[key] = source.Place()
+		locations[key] = source.Location()
 		wanted = append(wanted, source.Object())
 	}
 	put, remove := set.Difference(wanted, prune)
-	if findings := config.Check(set.With(put, remove), places); len(findings) > 0 {
+	if findings := config.Check(set.With(put, remove), locations); len(findings) > 0 {
 		return nil, config.Change{}, refusedError(findings.Err())
 	}
 	return set, config.Change{Base: set.Revision(), Put: put, Delete: remove}, nil
--- a/src/config/check.go
+++ b/src/config/check.go
@@ -14,15 +14,15 @@
 
 // checker validates a set and collects the findings.
 type checker struct {
-	set      *Set
-	places   map[Key]Place
-	findings Findings
+	set       *Set
+	locations map[Key]Location
+	findings  Findings
 }
 
 // Check validates a whole set and returns all findings. places holds where objects
 // were read from; findings about objects that it lacks have no line and column.
-func Check(set *Set, places map[Key]Place) Findings {
-	c := &checker{set: set, places: places}
+func Check(set *Set, locations map[Key]Location) Findings {
+	c := &checker{set: set, locations: locations}
 	for _, object := range set.Objects() {
 		c.checkObject(object)
 	}
@@ -35,27 +35,27 @@
 // CheckSources validates the set that consists of the sources alone and reports
 // duplicates among them.
 func CheckSources(sources []Source) Findings {
-	places := map[Key]Place{}
+	locations := map[Key]Location{}
 	var objects []Object
 	var findings Findings
 	for _, source := range sources {
 		key := source.object.Key
-		if _, duplicate := places[key]; duplicate {
-			findings = append(findings, source.place.At("name", key.String()+" is written twice"))
+		if _, duplicate := locations[key]; duplicate {
+			findings = append(findings, source.location.At("name", key.String()+" is written twice"))
 			continue
 		}
-		places[key] = source.place
+		locations[key] = source.location
 		objects = append(objects, source.object)
 	}
-	return append(findings, Check(NewSet(Revision{}, objects), places)...)
+	return append(findings, Check(NewSet(Revision{}, objects), locations)...)
 }
 
 func (c *checker) report(key Key, path, format string, args ...any) {
-	place, found := c.places[key]
+	location, found := c.locations[key]
 	if !found {
-		place = Place{file: key.String()}
+		location = Location{file: key.String()}
 	}
-	c.findings = append(c.findings, place.At(path, fmt.Sprintf(format, args...)))
+	c.findings = append(c.findings, location.At(path, fmt.Sprintf(format, args...)))
 }
 
 func (c *checker) checkObject(object Object) {
--- a/src/config/parse.go
+++ b/src/config/parse.go
@@ -12,18 +12,18 @@
 	"github.com/pkg/errors"
 )
 
-// Place is the location of an object or field in a file.
-type Place struct {
+// Location is the location of an object or field in a file.
+type Location struct {
 	file string
 	node ast.Node
 }
 
-// NewPlace returns the location of a node in a file.
-func NewPlace(file string, node ast.Node) Place { return Place{file: file, node: node} }
+// NewLocation returns the location of a node in a file.
+func NewLocation(file string, node ast.Node) Location { return Location{file: file, node: node} }
 
 // At returns a finding located at the object's field path, or at the object itself
 // if it has no such field.
-func (p Place) At(path, message string) Finding {
+func (p Location) At(path, message string) Finding {
 	finding := Finding{File: p.file, Message: message}
 	if p.node == nil {
 		return finding
@@ -43,21 +43,21 @@
 
 // Source is an object and its location in a file.
 type Source struct {
-	object Object
-	place  Place
+	object   Object
+	location Location
 }
 
 // NewSource returns the source of an object that does not come from a file, such as
 // one from the administration API.
 func NewSource(object Object) Source {
-	return Source{object: object, place: Place{file: object.Key.String()}}
+	return Source{object: object, location: Location{file: object.Key.String()}}
 }
 
 // Object returns the object.
 func (s Source) Object() Object { return s.object }
 
-// Place returns the object's location.
-func (s Source) Place() Place { return s.place }
+// Location returns the object's location.
+func (s Source) Location() Location { return s.location }
 
 // Header holds the fields that all documents have.
 type Header struct {
@@ -145,9 +145,9 @@
 			findings = append(findings, findingFor(file, document.Body, err))
 			continue
 		}
-		source := Source{object: object, place: Place{file: file, node: document.Body}}
+		source := Source{object: object, location: Location{file: file, node: document.Body}}
 		if object.Key.Name == "" {
-			findings = append(findings, source.place.At("", "name is missing"))
+			findings = append(findings, source.location.At("", "name is missing"))
 			continue
 		}
 		sources = append(sources, source)
@@ -206,7 +206,7 @@
 	if errors.As(err, &yamlErr) {
 		return YAMLFinding(file, err)
 	}
-	return Place{file: file, node: node}.At("kind", err.Error())
+	return Location{file: file, node: node}.At("kind", err.Error())
 }
 
 // YAMLFinding returns a finding with the message and, if known, the location of an
--- a/src/control/claim.go
+++ b/src/control/claim.go
@@ -86,7 +86,7 @@
 		expiry = defaultClaimExpiry
 	}
 	c.Keys[key] = claim{Token: token, Holder: c.holder(cmd.Holder), Expires: at.Add(expiry).Unix()}
-	return result{outcome: wire.Accepted, claim: wire.ClaimYours}
+	return result{outcome: wire.Accepted, claim: wire.ClaimAcquired}
 }
 
 // answer returns the claim's state as seen by the given token. The attempt that holds the claim is
@@ -96,9 +96,9 @@
 	case c.Phase == phaseDone:
 		return wire.ClaimDone
 	case c.Phase == phaseUnknown:
-		return wire.ClaimLost
+		return wire.ClaimUnknown
 	case c.Token == token:
-		return wire.ClaimYours
+		return wire.ClaimAcquired
 	}
 	return wire.ClaimRunning
 }
@@ -118,7 +118,7 @@
 		return result{outcome: wire.Accepted}
 	}
 	known.Phase = phaseDone
-	if cmd.State == wire.ClaimLost {
+	if cmd.State == wire.ClaimUnknown {
 		known.Phase = phaseUnknown
 	}
 	c.Keys[key] = known
--- a/src/control/control_bench_test.go
+++ b/src/control/control_bench_test.go
@@ -109,7 +109,7 @@
 			defer wait.Done()
 			for i := next.Add(1); i <= int64(n); i = next.Add(1) {
 				reply, _ := k.service.claim(context.Background(), nil, wire.ClaimRequest{Key: fmt.Sprint("key", i), Token: fmt.Sprint(i), Holder: "e"})
-				if reply.State != wire.ClaimYours {
+				if reply.State != wire.ClaimAcquired {
 					b.Errorf("claim %d: %s %s", i, reply.Outcome, reply.State)
 				}
 			}
--- a/src/control/service.go
+++ b/src/control/service.go
@@ -64,9 +64,9 @@
 	mux.Handle(wire.MethodSettle, rpc.Typed(s.settle))
 	mux.Handle(wire.MethodGrant, rpc.Typed(s.grant))
 	mux.Handle(wire.MethodHeartbeat, rpc.Typed(s.heartbeat))
-	mux.Handle(wire.MethodSeen, rpc.Typed(s.seen))
+	mux.Handle(wire.MethodLiveNodes, rpc.Typed(s.liveNodes))
 	mux.Handle(wire.MethodMembers, rpc.Typed(s.members))
-	mux.Handle(wire.MethodHeld, rpc.Typed(s.held))
+	mux.Handle(wire.MethodLogIndex, rpc.Typed(s.logIndex))
 }
 
 // nameOf returns the name part of an identity, which precedes the "#".
@@ -126,7 +126,7 @@
 	}
 	reply := wire.ClaimReply{Outcome: applied.outcome, State: applied.claim}
 	if reply.State == wire.ClaimRunning && s.holderLost(request.Key) {
-		reply.State = wire.ClaimLost
+		reply.State = wire.ClaimUnknown
 	}
 	s.logClaim(request, reply)
 	return reply, nil
@@ -134,7 +134,7 @@
 
 func (s *Service) logClaim(request wire.ClaimRequest, reply wire.ClaimReply) {
 	kind := event.ClaimRefused
-	if reply.State == wire.ClaimYours {
+	if reply.State == wire.ClaimAcquired {
 		kind = event.ClaimGranted
 	}
 	s.ring.Add(event.Event{Kind: kind, Request: request.Token, Host: request.Holder, Reason: string(reply.State)})
--- a/src/control/sim_test.go
+++ b/src/control/sim_test.go
@@ -425,7 +425,7 @@
 	s.submit(func(*Replica) command {
 		return command{At: s.now, Claim: &claimCommand{Key: key, Token: token, Holder: "e"}}
 	}, func(r result) {
-		if r.claim != wire.ClaimYours {
+		if r.claim != wire.ClaimAcquired {
 			return
 		}
 		if known, again := s.granted[key]; again && known != token {
--- a/src/exchange/admit.go
+++ b/src/exchange/admit.go
@@ -17,11 +17,11 @@
 	Admit func(ctx context.Context, account *catalog.Account, units float64) admission.Verdict
 	// Return gives back units that were granted until a time and not used.
 	Return func(account string, units float64, until time.Time)
-	// Trusted reports whether a configuration is confirmed recently enough to decide on requests
+	// Confirmed reports whether a configuration is confirmed recently enough to decide on requests
 	// with a key.
-	Trusted func(now time.Time, version uint64) bool
-	// AwaitTrust waits until the configuration is confirmed, as long as that is expected soon.
-	AwaitTrust func(ctx context.Context, version uint64) bool
+	Confirmed func(now time.Time, version uint64) bool
+	// AwaitConfirmation waits until the configuration is confirmed, as long as that is expected soon.
+	AwaitConfirmation func(ctx context.Context, version uint64) bool
 	// Now is the clock of grants and confirmations. It counts while the host is suspended.
 	Now func() time.Time
 }
@@ -41,10 +41,10 @@
 // identify determines the client account of a request. If there is none and the route is not
 // anonymous, it responds to the client and returns false.
 func (c *call) identify(table *catalog.Table) bool {
-	if !table.Keyed() {
+	if !table.KeysRequired() {
 		return true
 	}
-	c.account = table.AccountOf(c.facts.Key)
+	c.account = table.AccountOf(c.requestInfo.Key)
 	if c.account != nil || c.route.Anonymous {
 		return true
 	}
@@ -53,8 +53,8 @@
 		return false
 	}
 	c.handler.options.Metrics.KeysRefused.Inc(1)
-	c.handler.options.Ring.Add(event.Event{Kind: event.KeyRefused, Request: c.facts.ID, Reason: describeKeyError(c.facts.Key)})
-	c.refuse(http.StatusUnauthorized, describeKeyError(c.facts.Key))
+	c.handler.options.Ring.Add(event.Event{Kind: event.KeyRefused, Request: c.requestInfo.ID, Reason: describeKeyError(c.requestInfo.Key)})
+	c.refuse(http.StatusUnauthorized, describeKeyError(c.requestInfo.Key))
 	return false
 }
 
@@ -69,12 +69,12 @@
 // configuration that was not confirmed recently is confirmed now.
 func (c *call) configTrusted(table *catalog.Table) bool {
 	h := c.handler
-	if h.options.Admission.Trusted(h.options.Admission.Now(), table.Version()) {
+	if h.options.Admission.Confirmed(h.options.Admission.Now(), table.Version()) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(c.request.Context(), admissionTimeout)
 	defer cancel()
-	return h.options.Admission.AwaitTrust(ctx, table.Version())
+	return h.options.Admission.AwaitConfirmation(ctx, table.Version())
 }
 
 // reauthorize reports whether the request may be sent to a replica now: its key is still valid, the
@@ -85,7 +85,7 @@
 		return true
 	}
 	table := c.handler.table.Load()
-	account := table.AccountOf(c.facts.Key)
+	account := table.AccountOf(c.requestInfo.Key)
 	if account == nil && !c.route.Anonymous {
 		c.deny(http.StatusUnauthorized, "the key was taken away while the request waited")
 		return false
@@ -114,20 +114,20 @@
 	if c.account.Limit.Rate <= 0 || c.grant.valid(c.handler.options.Admission.Now()) {
 		return true
 	}
-	units := c.account.Cost(c.facts.PromptTokens + c.facts.OutputTokens)
+	units := c.account.Cost(c.requestInfo.PromptTokens + c.requestInfo.OutputTokens)
 	ctx, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
 	verdict := c.handler.options.Admission.Admit(ctx, c.account, units)
-	if verdict.Admission == wire.Granted {
+	if verdict.Admission == wire.AdmissionGranted {
 		c.grant = grant{units: units, until: verdict.Until}
 		if c.grant.valid(c.handler.options.Admission.Now()) {
 			return true
 		}
 	}
 	c.retryIn = verdict.RetryAfter
-	if verdict.Admission == wire.Spent {
+	if verdict.Admission == wire.QuotaExhausted {
 		c.handler.options.Metrics.QuotaSpent.Inc(1)
-		c.handler.options.Ring.Add(event.Event{Kind: event.QuotaSpent, Request: c.facts.ID, Reason: c.account.Name + " asked for more than is left, comes back in " + verdict.RetryAfter.String()})
+		c.handler.options.Ring.Add(event.Event{Kind: event.QuotaSpent, Request: c.requestInfo.ID, Reason: c.account.Name + " asked for more than is left, comes back in " + verdict.RetryAfter.String()})
 		c.deny(http.StatusTooManyRequests, "the client account has spent its limit")
 		return false
 	}
@@ -153,7 +153,7 @@
 // refuseUndecided refuses a request that cannot be decided on at present.
 func (c *call) refuseUndecided(reason string) {
 	c.handler.options.Metrics.Undecided.Inc(1)
-	c.handler.options.Ring.Add(event.Event{Kind: event.AdmissionUnsure, Request: c.facts.ID, Reason: reason})
+	c.handler.options.Ring.Add(event.Event{Kind: event.AdmissionUnsure, Request: c.requestInfo.ID, Reason: reason})
 	if c.retryIn == 0 {
 		c.retryIn = retryAfterStart
 	}
--- a/src/exchange/admit_test.go
+++ b/src/exchange/admit_test.go
@@ -43,9 +43,9 @@
 			defer f.mu.Unlock()
 			f.returned = append(f.returned, units)
 		},
-		Trusted:    func(time.Time, uint64) bool { return f.trusted },
-		AwaitTrust: func(context.Context, uint64) bool { return f.trusted },
-		Now:        func() time.Time { return time.Now().Add(f.suspended) },
+		Confirmed:         func(time.Time, uint64) bool { return f.trusted },
+		AwaitConfirmation: func(context.Context, uint64) bool { return f.trusted },
+		Now:               func() time.Time { return time.Now().Add(f.suspended) },
 	}
 }
 
@@ -58,7 +58,7 @@
 // keyedTable has one route and a client account with the given keys.
 func keyedTable(version uint64, r catalog.Route, keys ...catalog.Key) *catalog.Table {
 	return catalog.NewTable(catalog.Document{
-		Version: version, Routes: []catalog.Route{r}, Services: testServices(), Keyed: true,
+		Version: version, Routes: []catalog.Route{r}, Services: testServices(), KeysRequired: true,
 		Accounts: []catalog.Account{{Name: "a", Keys: keys, Limit: catalog.Limit{Unit: catalog.Requests, Rate: 1}}},
 	})
 }
@@ -71,7 +71,7 @@
 }
 
 func granting() *fakeAdmission {
-	return &fakeAdmission{trusted: true, verdict: admission.Verdict{Admission: wire.Granted, Until: time.Now().Add(time.Minute)}}
+	return &fakeAdmission{trusted: true, verdict: admission.Verdict{Admission: wire.AdmissionGranted, Until: time.Now().Add(time.Minute)}}
 }
 
 func TestAnAdmittedRequestCarriesItsAccount(t *testing.T) {
@@ -115,7 +115,7 @@
 	is := is.New(t)
 	r := newReplica(t, "x", whole)
 	f := granting()
-	f.verdict = admission.Verdict{Admission: wire.Spent, RetryAfter: 750 * time.Millisecond}
+	f.verdict = admission.Verdict{Admission: wire.QuotaExhausted, RetryAfter: 750 * time.Millisecond}
 	b := newKeyedBench(t, f, route(catalog.Safe, 2), r)
 	got := b.do("GET", "one", "", testKey+": k")
 	is.Equal(got.status, http.StatusTooManyRequests)
@@ -184,7 +184,7 @@
 	now := func() time.Time { return time.Now().Add(passed) }
 	b.handler.options.Now, b.handler.options.Admission.Now = now, now
 	f.onAdmit = func() { f.verdict.Until = now().Add(life) }
-	b.handler.options.Admission.Trusted = func(time.Time, uint64) bool {
+	b.handler.options.Admission.Confirmed = func(time.Time, uint64) bool {
 		passed += life // the request waits after it was admitted
 		return true
 	}
--- a/src/exchange/attempt.go
+++ b/src/exchange/attempt.go
@@ -82,7 +82,7 @@
 	pendingPrefill := choice.PrefillTime
 	defer func() { peer.read(pendingPrefill) }()
 	spent := c.takeGrant()
-	h.options.Fleet.Sent(now, peer, c.facts.Model, c.facts.Parts, choice.PrefillTime)
+	h.options.Fleet.Sent(now, peer, c.requestInfo.Model, c.requestInfo.Parts, choice.PrefillTime)
 	c.sends++
 	var sent sentRequest
 	hooks := sendHooks{
@@ -92,7 +92,7 @@
 		},
 		read: func(status int, header http.Header) Reply { return c.applyReply(peer, status, header, sent) },
 	}
-	a, err := send(attemptCtx, peer.pool, o, c.facts.ID, hooks, choice.connectTimeout(), c.headDeadline(now), now)
+	a, err := send(attemptCtx, peer.pool, o, c.requestInfo.ID, hooks, choice.connectTimeout(), c.headDeadline(now), now)
 	if errors.Is(err, errNotAccepted) {
 		c.undoAttempt(spent)
 		return notAccepted, nil
@@ -117,7 +117,7 @@
 		return c.bufferError(peer, a)
 	}
 	if c.route.Kind == catalog.Streaming {
-		return c.relayStream(ctx, peer, a, silenceWatch, &pendingPrefill, prefill{began: now, tokens: choice.PrefillTokens, model: c.facts.Model}), nil
+		return c.relayStream(ctx, peer, a, silenceWatch, &pendingPrefill, prefill{began: now, tokens: choice.PrefillTokens, model: c.requestInfo.Model}), nil
 	}
 	return c.relayBuffered(ctx, peer, a), nil
 }
@@ -142,7 +142,7 @@
 		c.handler.options.Unknown(peer.ID(), reply.Unknown)
 	}
 	c.handler.options.Fleet.applyReply(peer, &reply)
-	sent.succeeded = reply.ID == c.facts.ID && !reply.NotRun && status < http.StatusInternalServerError
+	sent.succeeded = reply.ID == c.requestInfo.ID && !reply.NotRun && status < http.StatusInternalServerError
 	c.handler.noteLimit(peer, reply.Limit, sent)
 	return reply
 }
@@ -170,7 +170,7 @@
 	header := make(http.Header, len(c.request.Header)+4)
 	dropped := connectionHeaders(c.request.Header)
 	for name, values := range c.request.Header {
-		if hopByHop[name] || slices.Contains(codec.Replace, name) || dropped[name] {
+		if hopByHop[name] || slices.Contains(codec.ReservedHeaders, name) || dropped[name] {
 			continue
 		}
 		header[name] = values
@@ -184,9 +184,9 @@
 		ResumeAfter: c.resumeAfter(),
 	}
 	if choice.FromBackup {
-		attempt.Continue = peer.pool.address
+		attempt.ContinueFrom = peer.pool.address
 	}
-	codec.Prepare(header, c.facts, attempt)
+	codec.EncodeRequest(header, c.requestInfo, attempt)
 	return &outgoingRequest{method: c.request.Method, target: c.request.RequestURI, host: c.request.Host, header: header, body: c.body}
 }
 
@@ -218,7 +218,7 @@
 	if ctx.Err() == nil {
 		c.connectionBroke = sent && !errors.Is(err, errOtherRequest)
 		pause := peer.failed(h.options.Now(), !errors.Is(err, errOtherRequest))
-		h.options.Ring.Add(event.Event{Kind: event.HostEjected, Request: c.facts.ID, Host: peer.ID(), Reason: err.Error() + "; avoided for " + pause.String()})
+		h.options.Ring.Add(event.Event{Kind: event.HostEjected, Request: c.requestInfo.ID, Host: peer.ID(), Reason: err.Error() + "; avoided for " + pause.String()})
 	}
 	if sent {
 		return unknown
@@ -235,14 +235,14 @@
 		a.reuseConn(h.options.Now())
 	}
 	c.reason += "; " + peer.ID() + " did not run it: " + a.response.Status + a.reply.describeRequests()
-	if a.reply.Misdirected && c.facts.Model != "" {
-		peer.noteMissingCopy(h.options.Now(), c.facts.Model, c.facts.Adapter)
+	if a.reply.Misdirected && c.requestInfo.Model != "" {
+		peer.noteMissingCopy(h.options.Now(), c.requestInfo.Model, c.requestInfo.Adapter)
 	}
 	// A replica that asked for a backoff has not failed. It is avoided for that time and then used
 	// as before.
 	if !a.reply.Misdirected && a.reply.Backoff == 0 {
 		peer.failed(h.options.Now(), false)
 	}
-	h.options.Ring.Add(event.Event{Kind: event.RequestRetried, Request: c.facts.ID, Host: peer.ID(), Model: c.facts.Model, Reason: c.reason})
+	h.options.Ring.Add(event.Event{Kind: event.RequestRetried, Request: c.requestInfo.ID, Host: peer.ID(), Model: c.requestInfo.Model, Reason: c.reason})
 	return notRun
 }
--- a/src/exchange/backoff_test.go
+++ b/src/exchange/backoff_test.go
@@ -192,9 +192,9 @@
 		f.SetReplicas(registry.Changes{Removed: []string{id}})
 	}
 	is.Equal(len(f.unlisted), maxUnlistedStates)
-	f.Tidy(noon.Add(unlistedStateTTL))
+	f.Expire(noon.Add(unlistedStateTTL))
 	is.Equal(len(f.unlisted), maxUnlistedStates)
-	f.Tidy(noon.Add(unlistedStateTTL + time.Second))
+	f.Expire(noon.Add(unlistedStateTTL + time.Second))
 	is.Equal(len(f.unlisted), 0)
 }
 
@@ -216,7 +216,7 @@
 	f.applyReply(peer, &Reply{NotRun: true})
 	f.applyReply(peer, &Reply{})
 	f.applyReply(peer, &Reply{})
-	f.applyReply(peer, &Reply{BackoffFault: "neither seconds nor a date: \"x\""})
+	f.applyReply(peer, &Reply{BackoffParseError: "neither seconds nor a date: \"x\""})
 	f.applyReply(peer, &Reply{Leaving: true})
 	f.applyReply(peer, &Reply{Leaving: true})
 	backingOff, leaving = f.BackingOff()
@@ -323,7 +323,7 @@
 		start.leaving = true
 	case 2:
 		f.SetReplicas(registry.Changes{Removed: []string{start.entry.Record.ID}})
-		f.Tidy(w.now)
+		f.Expire(w.now)
 		f.SetReplicas(registry.Changes{Entries: []registry.Entry{start.entry}})
 	case 3:
 		// A late response of an earlier incarnation.
--- a/src/exchange/backup.go
+++ b/src/exchange/backup.go
@@ -24,9 +24,9 @@
 	if !c.supportsBackups || c.stream != nil && c.stream.started {
 		return false
 	}
-	expected := c.facts.OutputTokens
-	if c.facts.Hint > 0 {
-		expected = c.facts.Hint
+	expected := c.requestInfo.OutputTokens
+	if c.requestInfo.OutputHint > 0 {
+		expected = c.requestInfo.OutputHint
 	}
 	return expected >= minBackupTokens
 }
--- a/src/exchange/choose.go
+++ b/src/exchange/choose.go
@@ -59,7 +59,7 @@
 			return choice
 		}
 		if choice.Verdict == ModelMissing && !demandCounted {
-			h.options.Demand.Ask(c.service, c.facts, true)
+			h.options.Demand.Count(c.service, c.requestInfo, true)
 			demandCounted = true
 		}
 		select {
@@ -95,7 +95,7 @@
 // would be far too late. Sending it anyway would delay all later requests as well, and most such
 // prompts would be cancelled before they were read.
 func (c *call) backlogTooLong(now time.Time, choice Choice) bool {
-	if c.facts.Model == "" || len(c.tried) > 0 {
+	if c.requestInfo.Model == "" || len(c.tried) > 0 {
 		return false
 	}
 	left := time.Duration(float64(c.route.Target)*maxFirstEventTargets) - now.Sub(c.startedAt)
@@ -116,5 +116,5 @@
 }
 
 func (c *call) requirements() Requirements {
-	return Requirements{Service: c.service, Model: c.facts.Model, Adapter: c.facts.Adapter, PromptLength: c.facts.PromptTokens, Parts: c.facts.Parts, Residency: catalog.ResidencyOf(c.route, c.account)}
+	return Requirements{Service: c.service, Model: c.requestInfo.Model, Adapter: c.requestInfo.Adapter, PromptLength: c.requestInfo.PromptTokens, Parts: c.requestInfo.Parts, Residency: catalog.ResidencyOf(c.route, c.account)}
 }
--- a/src/exchange/facts.go
+++ b/src/exchange/codec.go
@@ -13,8 +13,8 @@
 	Tokens int
 }
 
-// Facts are the properties of a request, independent of the interface by which it arrived.
-type Facts struct {
+// RequestInfo are the properties of a request, independent of the interface by which it arrived.
+type RequestInfo struct {
 	// ID is the client's ID of this attempt.
 	ID      string
 	Model   string
@@ -22,9 +22,9 @@
 	// PromptTokens is the length of the prompt, OutputTokens the maximum length of the output.
 	PromptTokens int
 	OutputTokens int
-	// Hint is the client's estimate of the output length in tokens, 0 if it gave none.
-	Hint  int
-	Parts []Part
+	// OutputHint is the client's estimate of the output length in tokens, 0 if it gave none.
+	OutputHint int
+	Parts      []Part
 	// Deadline is how long the client waits, 0 if it did not say.
 	Deadline time.Duration
 	// ResumeAfter is the ID of the last event that the client of a resumed stream has received.
@@ -42,9 +42,9 @@
 	ResumeAfter string
 	// Backup is the address of the replica that keeps a copy of the run, "" for none.
 	Backup string
-	// Continue is the replica's own address if it is to continue the run from the copy that it
+	// ContinueFrom is the replica's own address if it is to continue the run from the copy that it
 	// kept, "" for a new run.
-	Continue string
+	ContinueFrom string
 	// Account is the name of the client account, "" for requests without one.
 	Account string
 }
@@ -68,9 +68,9 @@
 	Misdirected bool
 	Load        Load
 	// Backoff is how long the replica wants no more requests from this gateway, 0 if it did not ask
-	// for a backoff. BackoffFault describes a backoff that could not be parsed.
-	Backoff      time.Duration
-	BackoffFault string
+	// for a backoff. BackoffParseError describes a backoff that could not be parsed.
+	Backoff           time.Duration
+	BackoffParseError string
 	// Leaving is set if the replica is leaving.
 	Leaving bool
 	// Cold is the remaining time for which the replica can take only few requests, 0 if the
@@ -84,25 +84,25 @@
 
 // RateLimit is a replica's rate limit over all gateways, as given in a response.
 type RateLimit struct {
-	// Named is set if the response contains a valid limit, PerSecond is its value in requests per
+	// Valid is set if the response contains a valid limit, PerSecond is its value in requests per
 	// second.
-	Named     bool
+	Valid     bool
 	PerSecond float64
-	// Fault describes a limit that could not be parsed, "" if there is none.
-	Fault string
+	// ParseError describes a limit that could not be parsed, "" if there is none.
+	ParseError string
 }
 
 // Codec translates between this package and the headers of one interface.
 type Codec struct {
-	// Facts decodes a client's request.
-	Facts func(*http.Request) Facts
-	// Prepare sets the headers of an attempt.
-	Prepare func(header http.Header, facts Facts, attempt Attempt)
+	// RequestInfo decodes a client's request.
+	RequestInfo func(*http.Request) RequestInfo
+	// EncodeRequest sets the headers of an attempt.
+	EncodeRequest func(header http.Header, facts RequestInfo, attempt Attempt)
 	// Reply decodes the head of a replica's response.
 	Reply func(status int, header http.Header) Reply
-	// Replace lists the client headers that are not passed on, in canonical form. Only the gateway
-	// may set them, and Prepare sets those that an attempt needs.
-	Replace []string
+	// ReservedHeaders lists the client headers that are not passed on, in canonical form. Only the gateway
+	// may set them, and EncodeRequest sets those that an attempt needs.
+	ReservedHeaders []string
 }
 
 // rejected reports whether the replica rejected the request for another reason than the models that
--- a/src/exchange/cold.go
+++ b/src/exchange/cold.go
@@ -58,8 +58,8 @@
 	return (*coldRates)[service]
 }
 
-// Cold returns the number of cold replicas that need permits.
-func (f *Fleet) Cold() int {
+// ColdReplicas returns the number of cold replicas that need permits.
+func (f *Fleet) ColdReplicas() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
--- a/src/exchange/copywait.go
+++ b/src/exchange/copywait.go
@@ -32,7 +32,7 @@
 // useful, the request is refused at once and told when to retry. A stopping gateway holds no
 // requests, since it may end before the model is loaded.
 func (c *call) waitsForCopy(now time.Time) bool {
-	at, known := c.handler.options.Fleet.copyExpectedAt(now, c.service, c.facts.Model)
+	at, known := c.handler.options.Fleet.copyExpectedAt(now, c.service, c.requestInfo.Model)
 	if !known || c.handler.stopping.Load() {
 		return false
 	}
--- a/src/exchange/copywait_test.go
+++ b/src/exchange/copywait_test.go
@@ -43,7 +43,7 @@
 	b.fleet.firstReplicaAt.Store(1)
 	now := time.Now()
 	r := route(catalog.Safe, 1)
-	request := &call{handler: b.handler, route: &r, service: "s", facts: Facts{Model: "n"}, startedAt: now.Add(-time.Second), deadline: now.Add(10 * time.Second)}
+	request := &call{handler: b.handler, route: &r, service: "s", requestInfo: RequestInfo{Model: "n"}, startedAt: now.Add(-time.Second), deadline: now.Add(10 * time.Second)}
 	b.expectCopy(1, "n", time.Millisecond)
 	looked := b.fleet.Pick(now, request.requirements(), nil)
 	is.Equal(looked.Verdict, ModelMissing)
@@ -88,7 +88,7 @@
 			if c.target > 0 {
 				route.Target = c.target
 			}
-			request := &call{handler: b.handler, route: &route, service: "s", facts: Facts{Model: "n"}, startedAt: now, deadline: now.Add(c.deadline)}
+			request := &call{handler: b.handler, route: &route, service: "s", requestInfo: RequestInfo{Model: "n"}, startedAt: now, deadline: now.Add(c.deadline)}
 			is.Equal(request.waitsForCopy(now), c.waits)
 			if !c.waits && !c.stopping && c.in > 0 {
 				is.True(request.retryIn >= c.in)
--- a/src/exchange/demand.go
+++ b/src/exchange/demand.go
@@ -15,7 +15,7 @@
 // use.
 type Demand struct {
 	mu     sync.Mutex
-	asked  map[demandKey]*wire.Asked
+	asked  map[demandKey]*wire.ModelUsage
 	any    wakeup.Flag
 	urgent wakeup.Flag
 }
@@ -28,33 +28,33 @@
 
 // NewDemand returns an empty Demand.
 func NewDemand() *Demand {
-	return &Demand{asked: map[demandKey]*wire.Asked{}, any: wakeup.New(), urgent: wakeup.New()}
+	return &Demand{asked: map[demandKey]*wire.ModelUsage{}, any: wakeup.New(), urgent: wakeup.New()}
 }
 
-// Ask counts a request; missing means that the request found no copy of its model and waits for
+// Count counts a request; missing means that the request found no copy of its model and waits for
 // one.
-func (d *Demand) Ask(service string, facts Facts, missing bool) {
-	if facts.Model == "" {
+func (d *Demand) Count(service string, requestInfo RequestInfo, missing bool) {
+	if requestInfo.Model == "" {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	asked := d.count(service, facts.Model, facts.Adapter)
+	asked := d.count(service, requestInfo.Model, requestInfo.Adapter)
 	if missing {
 		asked.Missing++
 		d.urgent.Raise()
 		return
 	}
 	asked.Requests++
-	asked.Tokens += facts.PromptTokens + outputTokenWeight*facts.OutputTokens
+	asked.Tokens += requestInfo.PromptTokens + outputTokenWeight*requestInfo.OutputTokens
 }
 
 // count returns the counts of a model or adapter; the lock is held.
-func (d *Demand) count(service, model, adapter string) *wire.Asked {
+func (d *Demand) count(service, model, adapter string) *wire.ModelUsage {
 	key := demandKey{service, model, adapter}
 	asked := d.asked[key]
 	if asked == nil {
-		asked = &wire.Asked{Service: service, Model: model, Adapter: adapter}
+		asked = &wire.ModelUsage{Service: service, Model: model, Adapter: adapter}
 		d.asked[key] = asked
 	}
 	d.any.Raise()
@@ -62,7 +62,7 @@
 }
 
 // Add adds the counts of other gateways.
-func (d *Demand) Add(models []wire.Asked) {
+func (d *Demand) Add(models []wire.ModelUsage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range models {
@@ -77,20 +77,20 @@
 	}
 }
 
-// Asked receives a value after requests were counted.
-func (d *Demand) Asked() <-chan struct{} { return d.any.Raised() }
+// Changed receives a value after requests were counted.
+func (d *Demand) Changed() <-chan struct{} { return d.any.Raised() }
 
-// Urgent receives a value after a request found no copy of its model.
-func (d *Demand) Urgent() <-chan struct{} { return d.urgent.Raised() }
+// MissingCopy receives a value after a request found no copy of its model.
+func (d *Demand) MissingCopy() <-chan struct{} { return d.urgent.Raised() }
 
 // Drain returns and resets the counts.
-func (d *Demand) Drain() []wire.Asked {
+func (d *Demand) Drain() []wire.ModelUsage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := make([]wire.Asked, 0, len(d.asked))
+	all := make([]wire.ModelUsage, 0, len(d.asked))
 	for _, asked := range d.asked {
 		all = append(all, *asked)
 	}
-	d.asked = map[demandKey]*wire.Asked{}
+	d.asked = map[demandKey]*wire.ModelUsage{}
 	return all
 }
--- a/src/exchange/doc.go
+++ b/src/exchange/doc.go
@@ -4,7 +4,7 @@
 // is known of its execution.
 //
 //	client ──▶ Handler ──▶ Fleet.Pick ──▶ pool ──▶ replica
-//	             │ route, facts, deadline    │ connection
+//	             │ route, info, deadline     │ connection
 //	             ◀── response or refusal ◀───┘ outcome: answered, not run, unknown
 //
 // A Codec reads and writes the headers of clients and replicas, so that different interfaces can
--- a/src/exchange/fake_test.go
+++ b/src/exchange/fake_test.go
@@ -46,19 +46,19 @@
 
 func testCodec() Codec {
 	return Codec{
-		Facts: func(r *http.Request) Facts {
+		RequestInfo: func(r *http.Request) RequestInfo {
 			ms, _ := strconv.Atoi(r.Header.Get(testDeadline))
 			tokens, _ := strconv.Atoi(r.Header.Get(testTokens))
-			return Facts{OutputTokens: tokens, ID: r.Header.Get(testID), Model: r.Header.Get(testModel), Deadline: time.Duration(ms) * time.Millisecond, ResumeAfter: r.Header.Get(testAfter), Key: catalog.Key(r.Header.Get(testKey))}
+			return RequestInfo{OutputTokens: tokens, ID: r.Header.Get(testID), Model: r.Header.Get(testModel), Deadline: time.Duration(ms) * time.Millisecond, ResumeAfter: r.Header.Get(testAfter), Key: catalog.Key(r.Header.Get(testKey))}
 		},
-		Prepare: func(header http.Header, _ Facts, a Attempt) {
+		EncodeRequest: func(header http.Header, _ RequestInfo, a Attempt) {
 			header.Set(testReplica, a.Replica)
 			header.Set(testDeadline, strconv.FormatInt(a.Remaining.Milliseconds(), 10))
 			if a.Backup != "" {
 				header.Set(testBackup, a.Backup)
 			}
-			if a.Continue != "" {
-				header.Set(testContinue, a.Continue)
+			if a.ContinueFrom != "" {
+				header.Set(testContinue, a.ContinueFrom)
 			}
 			if a.Account != "" {
 				header.Set(testAccount, a.Account)
@@ -73,12 +73,12 @@
 			limit, err := strconv.ParseFloat(header.Get(testLimit), 64)
 			return Reply{
 				Cold:  time.Duration(cold) * time.Millisecond,
-				Limit: RateLimit{Named: err == nil, PerSecond: limit},
+				Limit: RateLimit{Valid: err == nil, PerSecond: limit},
 				ID:    header.Get(testID), NotRun: header.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest, Misdirected: status == http.StatusMisdirectedRequest,
 				Backoff: time.Duration(ms) * time.Millisecond, Leaving: header.Get(testLeaving) != "",
 			}
 		},
-		Replace: []string{testReplica, testDeadline, testAfter, testKey, testAccount},
+		ReservedHeaders: []string{testReplica, testDeadline, testAfter, testKey, testAccount},
 	}
 }
 
--- a/src/exchange/fleet.go
+++ b/src/exchange/fleet.go
@@ -272,9 +272,9 @@
 	}
 }
 
-// Tidy closes connections that were idle for too long and drops expired states of unlisted
+// Expire closes connections that were idle for too long and drops expired states of unlisted
 // replicas.
-func (f *Fleet) Tidy(now time.Time) {
+func (f *Fleet) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.expireStates(now)
--- a/src/exchange/handler.go
+++ b/src/exchange/handler.go
@@ -63,9 +63,9 @@
 	Now     func() time.Time
 	// Unknown is called with the unknown statements in a replica's response. It may be nil.
 	Unknown func(replica string, names []string)
-	// RetainBytes limits the buffered bytes of bodies and responses over all requests; 0 means no
+	// MaxRetainedBytes limits the buffered bytes of bodies and responses over all requests; 0 means no
 	// limit.
-	RetainBytes int64
+	MaxRetainedBytes int64
 }
 
 // Handler serves client requests. It is safe for concurrent use.
@@ -89,7 +89,7 @@
 
 // NewHandler returns a handler without a configuration.
 func NewHandler(options Options) *Handler {
-	h := &Handler{options: options, budgets: newBudgets(options.Budget), configured: make(chan struct{}), waitQueues: newWaitQueues(), retention: retention{limit: options.RetainBytes}, localIssuer: ratelimit.NewFallbackIssuer(rand.Float64)}
+	h := &Handler{options: options, budgets: newBudgets(options.Budget), configured: make(chan struct{}), waitQueues: newWaitQueues(), retention: retention{limit: options.MaxRetainedBytes}, localIssuer: ratelimit.NewFallbackIssuer(rand.Float64)}
 	h.gateways.Store(1)
 	h.crashDetector = newCrashDetector(options.Now, h.noteCrash)
 	options.Fleet.setCrashHandler(h.crashDetector.confirm)
@@ -112,8 +112,8 @@
 // Gateways returns the number of gateways that share the retry budgets.
 func (h *Handler) Gateways() int { return int(h.gateways.Load()) }
 
-// Tidy drops expired state.
-func (h *Handler) Tidy(now time.Time) { h.crashDetector.expire(now) }
+// Expire drops expired state.
+func (h *Handler) Expire(now time.Time) { h.crashDetector.expire(now) }
 
 // Stop makes the handler close each connection after its current response.
 func (h *Handler) Stop() { h.stopping.Store(true) }
@@ -133,7 +133,7 @@
 	tokensPerEvent int
 	// supportsBackups is set if the service's replicas can keep copies of runs.
 	supportsBackups bool
-	facts           Facts
+	requestInfo     RequestInfo
 	// account is the client account, nil for requests without one.
 	account      *catalog.Account
 	grant        grant
@@ -193,7 +193,7 @@
 		return
 	}
 	c.version = table.Version()
-	c.route = table.Match(r.Host, r.URL.EscapedPath())
+	c.route = table.RouteFor(r.Host, r.URL.EscapedPath())
 	if c.route == nil {
 		c.refuse(http.StatusNotFound, "no route")
 		return
@@ -202,7 +202,7 @@
 	if service := table.Service(c.service); service != nil && service.Engine != nil {
 		c.tokensPerEvent, c.supportsBackups = service.Engine.EventTokens, service.Engine.Backups
 	}
-	c.facts = h.options.Codec.Facts(r)
+	c.requestInfo = h.options.Codec.RequestInfo(r)
 	c.deadline = c.startedAt.Add(c.timeLimit())
 	if !c.identify(table) || !c.readBody(table.Document().Limits.BodyBytes) {
 		return
@@ -214,7 +214,7 @@
 	if !c.maySend(r.Context()) {
 		return
 	}
-	h.options.Demand.Ask(c.service, c.facts, false)
+	h.options.Demand.Count(c.service, c.requestInfo, false)
 	c.run()
 }
 
@@ -239,7 +239,7 @@
 	if timeLimit <= 0 {
 		timeLimit = defaultTimeout
 	}
-	if d := c.facts.Deadline; d > 0 {
+	if d := c.requestInfo.Deadline; d > 0 {
 		timeLimit = min(timeLimit, d)
 	}
 	return timeLimit
--- a/src/exchange/pace.go
+++ b/src/exchange/pace.go
@@ -29,7 +29,7 @@
 
 // mustPace reports whether a request should wait before it is sent to the chosen replica.
 func (c *call) mustPace(now time.Time, choice Choice) bool {
-	if c.facts.Model == "" || c.route.GapTarget <= 0 || choice.Backlog <= 0 {
+	if c.requestInfo.Model == "" || c.route.GapTarget <= 0 || choice.Backlog <= 0 {
 		return false
 	}
 	if !now.Before(c.startedAt.Add(time.Duration(float64(c.route.Target) * maxPaceWaitShare))) {
--- a/src/exchange/pace_test.go
+++ b/src/exchange/pace_test.go
@@ -14,9 +14,9 @@
 
 func pacedCall(priority int) *call {
 	return &call{
-		startedAt: noon,
-		facts:     Facts{Model: "m"},
-		route:     &catalog.Route{Target: 400 * time.Millisecond, GapTarget: 250 * time.Millisecond, Priority: priority},
+		startedAt:   noon,
+		requestInfo: RequestInfo{Model: "m"},
+		route:       &catalog.Route{Target: 400 * time.Millisecond, GapTarget: 250 * time.Millisecond, Priority: priority},
 	}
 }
 
@@ -26,7 +26,7 @@
 	is.True(!c.mustPace(noon, Choice{PrefillTime: time.Second}))                                           // no backlog, so waiting would not help
 	is.True(!c.mustPace(noon, Choice{Backlog: 60 * time.Millisecond, PrefillTime: 60 * time.Millisecond})) // both fit into the allowed pause
 	is.True(c.mustPace(noon, Choice{Backlog: 100 * time.Millisecond, PrefillTime: 60 * time.Millisecond}))
-	c.facts.Model = ""
+	c.requestInfo.Model = ""
 	is.True(!c.mustPace(noon, Choice{Backlog: time.Second, PrefillTime: time.Second})) // plain services have no prompts
 }
 
--- a/src/exchange/queuewait.go
+++ b/src/exchange/queuewait.go
@@ -28,7 +28,7 @@
 
 // newQueueKey returns the key of the queue that the request belongs to.
 func (c *call) newQueueKey() queueKey {
-	return queueKey{service: c.service, held: copyKey{model: c.facts.Model, adapter: c.facts.Adapter}}
+	return queueKey{service: c.service, held: copyKey{model: c.requestInfo.Model, adapter: c.requestInfo.Adapter}}
 }
 
 // queueDeadline returns until when the request waits for a replica that accepts requests.
--- a/src/exchange/replicastate.go
+++ b/src/exchange/replicastate.go
@@ -102,8 +102,8 @@
 		if peer.backoffState.backOff(f.bootNow(), reply.Backoff, rand.Float64()) {
 			f.ring.Add(event.Event{Kind: event.BackoffAsked, Host: peer.ID(), Reason: fmt.Sprintf("for %s", min(reply.Backoff, maxBackoff))})
 		}
-	case reply.BackoffFault != "":
-		f.ring.Add(event.Event{Kind: event.BackoffAsked, Host: peer.ID(), Reason: "for a time that can't be read, so for none: " + reply.BackoffFault})
+	case reply.BackoffParseError != "":
+		f.ring.Add(event.Event{Kind: event.BackoffAsked, Host: peer.ID(), Reason: "for a time that can't be read, so for none: " + reply.BackoffParseError})
 	case reply.rejected():
 		// A rejection without a backoff does not show that the replica accepts requests again.
 	case peer.backoffState.restricted.Load() && peer.backoffState.noteAccepted(f.bootNow()):
--- a/src/exchange/residency_test.go
+++ b/src/exchange/residency_test.go
@@ -46,11 +46,11 @@
 	is.True(b.fleet.backup(time.Now(), want, []*Peer{b.fleet.Peer("y")}) == nil)
 	var tried []string
 	b.handler.options.Slots = Slots{
-		Request: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
+		Request: func(_ context.Context, request wire.SlotRequest) (wire.SlotReply, error) {
 			tried = request.Tried
-			return wire.PlaceReply{Known: true, Replica: "x", Ticket: 3}, nil
+			return wire.SlotReply{Known: true, Replica: "x", Ticket: 3}, nil
 		},
-		Release: func(wire.PlaceRelease) {},
+		Release: func(wire.SlotRelease) {},
 	}
 	b.handler.SetGateways(100)
 	b.do("GET", "placed", "")
@@ -89,7 +89,7 @@
 	b.fleet.SetRegions(map[string]string{"z": "here", "far": "there"})
 	set := func(regions ...string) {
 		b.handler.SetTable(catalog.NewTable(catalog.Document{
-			Version: 2, Routes: []catalog.Route{r}, Services: testServices(), Keyed: true,
+			Version: 2, Routes: []catalog.Route{r}, Services: testServices(), KeysRequired: true,
 			Accounts: []catalog.Account{{Name: "a", Keys: []catalog.Key{"k"}, Regions: regions}},
 		}))
 	}
--- a/src/exchange/restriction_test.go
+++ b/src/exchange/restriction_test.go
@@ -145,12 +145,12 @@
 	b := newSlotBench(t, &fakeSlots{err: errors.New("nobody assigns yet")}, closed, open)
 	b.close(closed, how)
 	b.handler.slotAssigner.unavailableUntil.Store(0)
-	unused := make(chan wire.PlaceRelease, 64)
+	unused := make(chan wire.SlotRelease, 64)
 	b.handler.options.Slots = Slots{
-		Request: func(context.Context, wire.PlaceRequest) (wire.PlaceReply, error) {
-			return wire.PlaceReply{Known: true, Replica: "x", Ticket: 3}, nil
+		Request: func(context.Context, wire.SlotRequest) (wire.SlotReply, error) {
+			return wire.SlotReply{Known: true, Replica: "x", Ticket: 3}, nil
 		},
-		Release: func(release wire.PlaceRelease) { unused <- release },
+		Release: func(release wire.SlotRelease) { unused <- release },
 	}
 	for i := range 5 {
 		if got := b.do("GET", fmt.Sprint("placed-", i), ""); got.status != http.StatusOK {
@@ -174,7 +174,7 @@
 		b.close(closed, how)
 		b.handler.SetTable(keyedTable(1, route(catalog.Safe, 2), "k"))
 	}
-	f.verdict = admission.Verdict{Admission: wire.Granted, Until: time.Now().Add(time.Minute)}
+	f.verdict = admission.Verdict{Admission: wire.AdmissionGranted, Until: time.Now().Add(time.Minute)}
 	b.do("GET", "waited", "", testKey+": k")
 	return closed
 }
@@ -226,7 +226,7 @@
 	b := newBench(t, route(catalog.Safe, 2), closed)
 	b.close(closed, how)
 	b.fleet.SetReplicas(registry.Changes{Removed: []string{"x"}})
-	b.fleet.Tidy(time.Now())
+	b.fleet.Expire(time.Now())
 	b.register(closed)
 	b.do("GET", "again", "")
 	return closed
--- a/src/exchange/sharedlimit.go
+++ b/src/exchange/sharedlimit.go
@@ -75,15 +75,15 @@
 // the reports of the other gateways. An error or rejection without a limit does not lift the limit,
 // since it may come from a proxy in front of the replica.
 func (t *sharedLimit) noteReply(now time.Time, reply RateLimit, sent sentRequest) (report bool) {
-	if !reply.Named && (!t.active.Load() || reply.Fault != "" || !sent.succeeded) {
+	if !reply.Valid && (!t.active.Load() || reply.ParseError != "" || !sent.succeeded) {
 		return false
 	}
-	word := &ratelimit.LimitReport{State: ratelimit.State{Limited: reply.Named, PerSecond: reply.PerSecond}, FromResponse: true, Term: sent.term, Permit: sent.grant}
+	word := &ratelimit.LimitReport{State: ratelimit.State{Limited: reply.Valid, PerSecond: reply.PerSecond}, FromResponse: true, Term: sent.term, Permit: sent.grant}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case word.State == t.limit:
-		if reply.Named {
+		if reply.Valid {
 			t.lastNamedAt = now
 		}
 		t.unreported = word
@@ -200,14 +200,14 @@
 // new.
 func (h *Handler) noteLimit(peer *Peer, reply RateLimit, sent sentRequest) {
 	fleet := h.options.Fleet
-	if reply.Fault != "" && peer.sharedLimit.noteFault(reply.Fault) {
-		fleet.ring.Add(event.Event{Kind: event.LimitTold, Host: peer.ID(), Reason: "a limit that can't be read, so none: " + reply.Fault})
+	if reply.ParseError != "" && peer.sharedLimit.noteFault(reply.ParseError) {
+		fleet.ring.Add(event.Event{Kind: event.LimitTold, Host: peer.ID(), Reason: "a limit that can't be read, so none: " + reply.ParseError})
 	}
-	if !reply.Named && !peer.sharedLimit.active.Load() {
+	if !reply.Valid && !peer.sharedLimit.active.Load() {
 		return
 	}
 	before := peer.sharedLimit.limitSince()
-	if reply.Named {
+	if reply.Valid {
 		breaks, _ := peer.pool.checkIdle()
 		peer.brokenAtRequest.Store(int64(breaks))
 	}
@@ -273,8 +273,8 @@
 	return text + ", with a permit in " + f.minPermitWait(peer).Round(time.Millisecond).String()
 }
 
-// Limited returns the number of replicas with a shared rate limit.
-func (f *Fleet) Limited() int {
+// LimitedReplicas returns the number of replicas with a shared rate limit.
+func (f *Fleet) LimitedReplicas() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
--- a/src/exchange/sharedlimit_sim_test.go
+++ b/src/exchange/sharedlimit_sim_test.go
@@ -347,15 +347,15 @@
 		if l.at > at {
 			break
 		}
-		if l.limit.Named && !named {
+		if l.limit.Valid && !named {
 			first = l.at
 		}
-		limit, since, named = l.limit.PerSecond, l.at, l.limit.Named
+		limit, since, named = l.limit.PerSecond, l.at, l.limit.Valid
 	}
 	return limit, since, first, named
 }
 
-func names(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
+func names(perSecond float64) RateLimit { return RateLimit{Valid: true, PerSecond: perSecond} }
 
 // TestLimitHoldsInEveryWindow: the limit rises, falls, ends and returns, while messages are lost,
 // hosts are suspended and leaders change.
--- a/src/exchange/sharedlimit_test.go
+++ b/src/exchange/sharedlimit_test.go
@@ -25,7 +25,7 @@
 // once the issuer confirms it.
 func TestLimitInResponse(t *testing.T) {
 	now := noon
-	named := func(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
+	named := func(perSecond float64) RateLimit { return RateLimit{Valid: true, PerSecond: perSecond} }
 	run := sentRequest{sentAt: now.Add(time.Second), term: 3, grant: 9, succeeded: true}
 	failed, early := run, run
 	failed.succeeded = false
@@ -46,7 +46,7 @@
 		"none":                               {RateLimit{}, run, limitOf(5), true, ratelimit.State{}},
 		"none to an earlier request":         {RateLimit{}, early, limitOf(5), false, limitOf(5)},
 		"none with a failure":                {RateLimit{}, failed, limitOf(5), false, limitOf(5)},
-		"one that can't be read":             {RateLimit{Fault: "no decimal number"}, run, limitOf(5), false, limitOf(5)},
+		"one that can't be read":             {RateLimit{ParseError: "no decimal number"}, run, limitOf(5), false, limitOf(5)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -71,7 +71,7 @@
 	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 0, 0, nil))        // without an issuer only a lower limit applies
 	is.True(sharedLimit.applyIssued(noon, limitOf(4), 0, 0, nil))
 	is.True(sharedLimit.applyIssued(noon, limitOf(8), 3, 5, nil))
-	is.True(sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{}))
+	is.True(sharedLimit.noteReply(noon, RateLimit{Valid: true, PerSecond: 2}, sentRequest{}))
 	is.True(!sharedLimit.applyIssued(noon, limitOf(8), 3, 6, nil)) // the issuer does not know the limit of 2 yet
 	told := sharedLimit.report()
 	is.True(!sharedLimit.applyIssued(noon, limitOf(2), 3, 7, told.heard))
@@ -84,7 +84,7 @@
 func TestLimitWithoutIssuerIsReportedLater(t *testing.T) {
 	is := is.New(t)
 	var sharedLimit sharedLimit
-	sharedLimit.noteReply(noon, RateLimit{Named: true, PerSecond: 2}, sentRequest{})
+	sharedLimit.noteReply(noon, RateLimit{Valid: true, PerSecond: 2}, sentRequest{})
 	told := sharedLimit.report()
 	sharedLimit.applyIssued(noon, limitOf(2), 0, 0, told.heard)
 	is.True(sharedLimit.report().word.FromResponse)
@@ -145,12 +145,12 @@
 	is := is.New(t)
 	b, x, issuer := limitedBench(t, "0")
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
-	is.Equal(b.fleet.Limited(), 1)
+	is.Equal(b.fleet.LimitedReplicas(), 1)
 	x.setAct(whole)
 	for b.do("POST", "asks", "x").status != http.StatusOK {
 		time.Sleep(10 * time.Millisecond)
 	}
-	for b.fleet.Limited() > 0 {
+	for b.fleet.LimitedReplicas() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 20 {
@@ -166,7 +166,7 @@
 	is := is.New(t)
 	b, x, _ := limitedBench(t, "0")
 	is.Equal(b.do("POST", "names", "x").status, http.StatusOK)
-	is.Equal(b.fleet.Limited(), 1)
+	is.Equal(b.fleet.LimitedReplicas(), 1)
 	x.setAct(func(arrival) bool { return false })
 	for x.count() < 3 {
 		b.do("POST", "ends", "x")
--- a/src/exchange/stream.go
+++ b/src/exchange/stream.go
@@ -72,7 +72,7 @@
 	if c.stream != nil && c.stream.lastEventID != "" {
 		return c.stream.lastEventID
 	}
-	return c.facts.ResumeAfter
+	return c.requestInfo.ResumeAfter
 }
 
 // relayStream passes the events of a stream on as they arrive. pendingPrefill is the prefill time
--- a/src/feed/drain_test.go
+++ b/src/feed/drain_test.go
@@ -44,9 +44,9 @@
 	is := is.New(t)
 	n := newZonedNet(t, "x", "y", "z")
 	n.nodes[0].drain(1, "x")
-	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Zone: "x", Sequence: 1})
+	n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Zone: "x", Sequence: 1})
 	eventually(t, "the zone's node has the drain and the replica", func() bool {
-		known := n.nodes[2].follower.Known()
+		known := n.nodes[2].follower.View()
 		return known.Drains != nil && known.Drains.Revision == 1 && known.Stamp > 0
 	})
 	knew := make(chan bool, 1)
--- a/src/feed/feed_test.go
+++ b/src/feed/feed_test.go
@@ -18,7 +18,7 @@
 	s := n.follow("127.0.0.1:1", n.nodes[1].server.Address())
 	for i, node := range n.nodes {
 		id := string(rune('p' + i))
-		node.publisher.Hear(context.Background(), registry.Record{ID: id, Sequence: 1})
+		node.publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: id, Sequence: 1})
 		eventually(t, "the replica that called node "+node.publisher.node+" is known", func() bool {
 			_, usable := s.usable(id)
 			return usable
@@ -37,18 +37,18 @@
 	is := is.New(t)
 	n := newTestNet(t, 3)
 	n.nodes[0].outside.Store(true)
-	is.True(n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1}))
-	is.True(!n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
-	is.True(n.nodes[1].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1}))
+	is.True(!n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(n.nodes[1].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
 }
 
 func TestAnAcknowledgedDrainOutlivesTheNodeThatAcknowledgedIt(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
 	for _, node := range n.nodes {
-		node.publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+		node.publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	}
-	is.True(n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
 	n.nodes[0].server.Close()
 	s := n.follow(n.nodes[1].server.Address(), n.nodes[2].server.Address())
 	eventually(t, "a gateway that starts afterwards does not use the replica", func() bool {
@@ -65,10 +65,10 @@
 	alone := n.nodes[0].publisher
 	s := n.follow(n.nodes[0].server.Address())
 	ctx := context.Background()
-	is.True(alone.Hear(ctx, registry.Record{ID: "r", Sequence: 1}))
-	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true}))
-	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when it is repeated
-	is.True(!alone.Remove(ctx, "r"))
+	is.True(alone.ApplyHeartbeat(ctx, registry.Record{ID: "r", Sequence: 1}))
+	is.True(!alone.ApplyHeartbeat(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(!alone.ApplyHeartbeat(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when it is repeated
+	is.True(!alone.HandleEnd(ctx, "r"))
 	eventually(t, "gateways learn of it nevertheless", func() bool {
 		known, usable := s.usable("r")
 		return known && !usable
@@ -79,8 +79,8 @@
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	p := n.nodes[0].publisher
-	is.True(p.Remove(context.Background(), "r"))
-	p.Hear(context.Background(), registry.Record{ID: "r", Sequence: 9})
+	is.True(p.HandleEnd(context.Background(), "r"))
+	p.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 9})
 	s := n.follow(n.nodes[0].server.Address())
 	eventually(t, "a late heartbeat does not restore it", func() bool {
 		known, usable := s.usable("r")
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.Run(ctx)
-	eventually(t, "all nodes are followed", func() bool { return f.Live() == 3 })
+	eventually(t, "all nodes are followed", func() bool { return f.ConnectedNodes() == 3 })
 	f.NotifyLeader(ctx, wire.MethodUsage, wire.Usage{})
 	eventually(t, "without a leader all nodes are notified", func() bool {
 		return n.nodes[0].usage.Load() == 1 && n.nodes[1].usage.Load() == 1 && n.nodes[2].usage.Load() == 1
--- a/src/feed/follower.go
+++ b/src/feed/follower.go
@@ -162,15 +162,15 @@
 	f.check.Raise()
 }
 
-// Live returns the number of connected control nodes.
-func (f *Follower) Live() int {
+// ConnectedNodes returns the number of connected control nodes.
+func (f *Follower) ConnectedNodes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.live()
 }
 
 // disconnected reports whether no control node is connected.
-func (f *Follower) disconnected() bool { return f.Live() == 0 }
+func (f *Follower) disconnected() bool { return f.ConnectedNodes() == 0 }
 
 func (f *Follower) live() int {
 	live := 0
--- a/src/feed/heartbeat.go
+++ b/src/feed/heartbeat.go
@@ -9,17 +9,17 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Hear processes a replica's heartbeat and reports whether it may be acknowledged. The departure of
+// ApplyHeartbeat processes a replica's heartbeat and reports whether it may be acknowledged. The departure of
 // a replica is acknowledged only once a majority of control nodes has saved it, so that gateways
 // learn of it even if this node fails.
-func (p *Publisher) Hear(ctx context.Context, record registry.Record) bool {
+func (p *Publisher) ApplyHeartbeat(ctx context.Context, record registry.Record) bool {
 	p.mu.Lock()
 	if rejectionReason := p.rejectionReason(&record); rejectionReason != "" {
 		p.mu.Unlock()
-		p.cluster.Misread(record.ReplicaName(), rejectionReason)
+		p.cluster.HeartbeatRefused(record.ReplicaName(), rejectionReason)
 		return false
 	}
-	if p.table.Hear(p.now(), record) {
+	if p.table.ApplyHeartbeat(p.now(), record) {
 		p.notifyChanged()
 	}
 	known := p.departures[record.ID]
@@ -54,9 +54,9 @@
 	return ""
 }
 
-// Remove records that a replica has ended or is about to. It does so also for a replica that this
+// HandleEnd records that a replica has ended or is about to. It does so also for a replica that this
 // node does not know, since other nodes may have seen it start.
-func (p *Publisher) Remove(ctx context.Context, name string) bool {
+func (p *Publisher) HandleEnd(ctx context.Context, name string) bool {
 	p.mu.Lock()
 	record, found := p.table.EndingStart(name)
 	p.mu.Unlock()
@@ -64,7 +64,7 @@
 		record = registry.Record{ID: name}
 	}
 	record.Gone = true
-	return p.Hear(ctx, record)
+	return p.ApplyHeartbeat(ctx, record)
 }
 
 // replicateDeparture sends the record of a leaving replica to the other nodes and waits until a
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, departureTimeout)
 	go func() { answers <- p.save() }()
 	for _, address := range peers {
-		go func() { answers <- p.cluster.Note(ctx, address, record) }()
+		go func() { answers <- p.cluster.SendDeparture(ctx, address, record) }()
 	}
 	stored := 0
 	for range len(peers) + 1 {
@@ -112,7 +112,7 @@
 }
 
 // handleNote saves a leaving replica's record that another node forwarded.
-func (p *Publisher) handleNote(_ context.Context, _ *rpc.Peer, request wire.NoteRequest) (wire.Empty, error) {
+func (p *Publisher) handleNote(_ context.Context, _ *rpc.Peer, request wire.DepartureRequest) (wire.Empty, error) {
 	p.mu.Lock()
 	if p.table.ApplyForwarded(p.now(), request.Record) {
 		p.notifyChanged()
--- a/src/feed/heartbeat_test.go
+++ b/src/feed/heartbeat_test.go
@@ -19,11 +19,11 @@
 	services := map[string]bool{}
 	var rejected []string
 	cluster := Cluster{
-		Serves:   func(service string) bool { return services[service] },
-		Misread:  func(name, reason string) { rejected = append(rejected, name+": "+reason) },
-		Majority: func() (int, bool) { return 0, true },
-		Peers:    func() []string { return nil },
-		Save:     func([]registry.Record) error { return nil },
+		Serves:           func(service string) bool { return services[service] },
+		HeartbeatRefused: func(name, reason string) { rejected = append(rejected, name+": "+reason) },
+		Majority:         func() (int, bool) { return 0, true },
+		Peers:            func() []string { return nil },
+		Save:             func([]registry.Record) error { return nil },
 
 		Quarantine: func() *wire.Quarantine { return nil },
 		Drains:     func() *wire.ZoneDrains { return nil },
@@ -33,11 +33,11 @@
 	recalled := registry.Record{ID: "i-1", Service: "s", Address: "a:1", Sequence: 5}
 	p.Recall([]registry.Record{recalled})
 	recalled.Sequence++
-	is.True(p.Hear(ctx, recalled))
+	is.True(p.ApplyHeartbeat(ctx, recalled))
 	newcomer := registry.Record{ID: "i-2", Service: "s", Address: "a:2", Sequence: 1}
-	is.True(!p.Hear(ctx, newcomer)) // it is not known yet whether the service exists
+	is.True(!p.ApplyHeartbeat(ctx, newcomer)) // it is not known yet whether the service exists
 	services["s"] = true
-	is.True(p.Hear(ctx, newcomer))
+	is.True(p.ApplyHeartbeat(ctx, newcomer))
 	for _, change := range []func(r *registry.Record){
 		func(r *registry.Record) { r.Service = "t" },
 		func(r *registry.Record) { r.Address = "a:3" },
@@ -46,14 +46,14 @@
 		foreign := newcomer
 		foreign.Sequence = 99
 		change(&foreign)
-		is.True(!p.Hear(ctx, foreign))
+		is.True(!p.ApplyHeartbeat(ctx, foreign))
 	}
 	known, _ := p.table.Record("i-2")
 	is.Equal(known.Sequence, uint64(1)) // a rejected heartbeat changes nothing
 	_, found := p.table.Record("i-3")
 	is.True(!found)
 	newcomer.Draining, newcomer.Sequence = true, 2
-	is.True(p.Hear(ctx, newcomer))
+	is.True(p.ApplyHeartbeat(ctx, newcomer))
 	is.Equal(rejected, []string{
 		"i-2: service s is not in the configuration", "i-2: it has another service than before",
 		"i-2: it has another address than before", "i-3: service t is not in the configuration",
--- a/src/feed/holdings_test.go
+++ b/src/feed/holdings_test.go
@@ -89,7 +89,7 @@
 		p.SetHoldings(h)
 		if version == 6 {
 			cut.Set([]string{"127.0.0.1"})
-			eventually(t, "the stream is lost", func() bool { return f.Live() == 0 })
+			eventually(t, "the stream is lost", func() bool { return f.ConnectedNodes() == 0 })
 			cut.Set(nil)
 		}
 		eventually(t, "the newest holdings arrive", func() bool {
--- a/src/feed/net_test.go
+++ b/src/feed/net_test.go
@@ -85,11 +85,11 @@
 	for i, zone := range zones {
 		node := &testNode{net: n, changed: make(chan struct{}), cut: &fault.Cut{}}
 		cluster := Cluster{
-			Quarantine: func() *wire.Quarantine { return nil },
-			Drains:     node.drains.Load,
-			Serves:     func(string) bool { return true },
-			Misread:    func(string, string) {},
-			Version:    func() uint64 { return node.currentDocument().Version },
+			Quarantine:       func() *wire.Quarantine { return nil },
+			Drains:           node.drains.Load,
+			Serves:           func(string) bool { return true },
+			HeartbeatRefused: func(string, string) {},
+			Version:          func() uint64 { return node.currentDocument().Version },
 			Document: func() wire.Document {
 				time.Sleep(time.Duration(node.slow.Load()))
 				return node.currentDocument()
@@ -104,8 +104,8 @@
 			Majority: func() (int, bool) { return count / 2, !node.outside.Load() },
 			Leading:  func() bool { return node.leading.Load() },
 			Save:     node.save,
-			Note: func(ctx context.Context, address string, record registry.Record) error {
-				return n.clients[address].Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
+			SendDeparture: func(ctx context.Context, address string, record registry.Record) error {
+				return n.clients[address].Call(ctx, wire.MethodDeparture, wire.DepartureRequest{Record: record}, nil)
 			},
 		}
 		name := string(rune('a' + i))
--- a/src/feed/notify.go
+++ b/src/feed/notify.go
@@ -24,28 +24,28 @@
 	}
 }
 
-// NotifyNearest sends a notification to the most preferred healthy control node, or to any
+// NotifyBest sends a notification to the most preferred healthy control node, or to any
 // connected one if none is healthy. It chooses the same node until that one is no longer healthy or
 // a more preferred one becomes healthy.
-func (f *Follower) NotifyNearest(ctx context.Context, method string, params any) {
+func (f *Follower) NotifyBest(ctx context.Context, method string, params any) {
 	if client := f.bestClient(); client != nil {
 		_ = client.Notify(ctx, method, params)
 	}
 }
 
-// The limits of one call of Ask.
+// The limits of one call of CallHedged.
 const (
-	// hedgeDelay is how long Ask waits for an answer before it also calls another control node:
+	// hedgeDelay is how long CallHedged waits for an answer before it also calls another control node:
 	// longer than an answer that has to be fetched from the leader, and shorter than the first
 	// retransmission of a lost packet.
 	hedgeDelay = 80 * time.Millisecond
-	// maxAsked is how many control nodes Ask calls at most.
+	// maxAsked is how many control nodes CallHedged calls at most.
 	maxAsked = 3
 )
 
-// Ask calls the most preferred healthy control node, and further ones while there is no answer. It
+// CallHedged calls the most preferred healthy control node, and further ones while there is no answer. It
 // returns the first successful reply and ignores the rest.
-func Ask[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
+func CallHedged[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
 	type answer struct {
 		reply R
 		err   error
@@ -82,9 +82,9 @@
 	return last.reply, last.err
 }
 
-// AskOne calls only the most preferred healthy control node, or any connected one if none is
+// CallBest calls only the most preferred healthy control node, or any connected one if none is
 // healthy.
-func AskOne[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
+func CallBest[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
 	var reply R
 	client := f.bestClient()
 	if client == nil {
@@ -94,7 +94,7 @@
 	return reply, err
 }
 
-// askOrder returns the control nodes for Ask to call, the most preferred ones first and connected
+// askOrder returns the control nodes for CallHedged to call, the most preferred ones first and connected
 // ones before others.
 func (f *Follower) askOrder() []*rpc.Client {
 	f.mu.Lock()
--- a/src/feed/publisher.go
+++ b/src/feed/publisher.go
@@ -40,8 +40,8 @@
 	// Majority returns how many other nodes form a majority together with this one, if that is
 	// known.
 	Majority func() (others int, known bool)
-	// Note sends the record of a leaving replica to another node.
-	Note func(ctx context.Context, address string, record registry.Record) error
+	// SendDeparture sends the record of a leaving replica to another node.
+	SendDeparture func(ctx context.Context, address string, record registry.Record) error
 	// Quarantine returns the request contents that replicas were running when they ended, nil if
 	// there never were any. Each change yields a new pointer.
 	Quarantine func() *wire.Quarantine
@@ -50,8 +50,8 @@
 	Drains func() *wire.ZoneDrains
 	// Serves reports whether the configuration contains a service.
 	Serves func(service string) bool
-	// Misread is called with the name and the reason for each heartbeat that is rejected.
-	Misread func(name, reason string)
+	// HeartbeatRefused is called with the name and the reason for each heartbeat that is rejected.
+	HeartbeatRefused func(name, reason string)
 	// Save stores the replicas for the next restart. It returns once they would survive a power
 	// loss.
 	Save func([]registry.Record) error
@@ -107,7 +107,7 @@
 func (p *Publisher) Register(mux *rpc.Mux) {
 	mux.Handle(wire.MethodWatchFeed, rpc.Typed(p.handleWatch))
 	mux.Handle(wire.MethodFetchDocument, rpc.Typed(p.handleFetchDocument))
-	mux.Handle(wire.MethodNote, rpc.Typed(p.handleNote))
+	mux.Handle(wire.MethodDeparture, rpc.Typed(p.handleNote))
 }
 
 // Recall restores the replicas that this node knew before it was restarted.
--- a/src/feed/recall_test.go
+++ b/src/feed/recall_test.go
@@ -16,13 +16,13 @@
 	is := is.New(t)
 	n := newTestNet(t, 3)
 	record := registry.Record{ID: "a", Sequence: 1}
-	is.True(n.nodes[0].publisher.Hear(context.Background(), record))
+	is.True(n.nodes[0].publisher.ApplyHeartbeat(context.Background(), record))
 	n.nodes[1].failing.Store(true)
 	n.nodes[2].failing.Store(true)
 	record.Sequence, record.Draining = 2, true
-	is.True(!n.nodes[0].publisher.Hear(context.Background(), record)) // saved on one disk of three
+	is.True(!n.nodes[0].publisher.ApplyHeartbeat(context.Background(), record)) // saved on one disk of three
 	n.nodes[2].failing.Store(false)
-	is.True(n.nodes[0].publisher.Hear(context.Background(), record))
+	is.True(n.nodes[0].publisher.ApplyHeartbeat(context.Background(), record))
 	copies := 0
 	for _, node := range n.nodes {
 		node.mu.Lock()
@@ -43,7 +43,7 @@
 	n := newTestNet(t, 1)
 	node := n.nodes[0]
 	p := node.publisher
-	is.True(p.Hear(context.Background(), registry.Record{ID: "a", Sequence: 1}))
+	is.True(p.ApplyHeartbeat(context.Background(), registry.Record{ID: "a", Sequence: 1}))
 	begun, ended := make(chan struct{}), make(chan struct{})
 	p.cluster.Save = func(records []registry.Record) error {
 		if !records[0].Draining {
@@ -57,7 +57,7 @@
 		is.NoErr(p.save())
 	}()
 	<-begun
-	is.True(p.Hear(context.Background(), registry.Record{ID: "a", Sequence: 2, Draining: true}))
+	is.True(p.ApplyHeartbeat(context.Background(), registry.Record{ID: "a", Sequence: 2, Draining: true}))
 	<-ended
 	is.True(node.saved[0].Draining)
 }
--- a/src/feed/relay.go
+++ b/src/feed/relay.go
@@ -44,7 +44,7 @@
 	quarantineChanged wakeup.Flag
 
 	mu sync.Mutex
-	// subscribers are the gateways that follow this node; the value is set while Tell is sending to
+	// subscribers are the gateways that follow this node; the value is set while Broadcast is sending to
 	// the gateway.
 	subscribers map[*rpc.Peer]*atomic.Bool
 	state       relayState
@@ -109,9 +109,9 @@
 	}
 }
 
-// Tell sends a notification to every gateway that follows this node, except those to which the
+// Broadcast sends a notification to every gateway that follows this node, except those to which the
 // previous one is still being sent.
-func (r *Relay) Tell(n rpc.Notification) {
+func (r *Relay) Broadcast(n rpc.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for peer, sending := range r.subscribers {
@@ -129,8 +129,8 @@
 // Gateways returns the number of gateways that follow this node.
 func (r *Relay) Gateways() int { return int(r.gateways.Load()) }
 
-// Wake signals that the cluster's quarantine has changed.
-func (r *Relay) Wake() { r.quarantineChanged.Raise() }
+// QuarantineChanged signals that the cluster's quarantine has changed.
+func (r *Relay) QuarantineChanged() { r.quarantineChanged.Raise() }
 
 // Run batches changes into rounds until the context ends.
 func (r *Relay) Run(ctx context.Context) {
@@ -148,18 +148,18 @@
 		case <-configChanged:
 		case <-r.quarantineChanged.Raised():
 		}
-		time.Sleep(r.Join())
+		time.Sleep(r.BatchDelay())
 	}
 }
 
-// Join returns how long changes are batched before they are sent to all gateways.
-func (r *Relay) Join() time.Duration {
+// BatchDelay returns how long changes are batched before they are sent to all gateways.
+func (r *Relay) BatchDelay() time.Duration {
 	return max(batchDelay, time.Duration(r.Gateways())*batchDelayPerGateway)
 }
 
 // round collects the current state and wakes the streams if it has changed.
 func (r *Relay) round(now time.Time) {
-	known := r.follower.Known()
+	known := r.follower.View()
 	next := relayState{
 		stamp:    known.Stamp,
 		holdings: known.Holdings,
@@ -173,7 +173,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next.version = max(next.version, r.peerDocument.Version)
-	next.detached = withoutMajority(known.Reach, len(next.members)) || r.lagging(now, next.version, known.Version)
+	next.detached = withoutMajority(known.ConnectedNodes, len(next.members)) || r.lagging(now, next.version, known.Version)
 	r.fetchFromPeerIfDue(now)
 	next.confirmedAt = r.cluster.Confirmed(now)
 	next.uncertain = now.Sub(later(r.startedAt, next.confirmedAt)) > uncertainAfter
--- a/src/feed/relay_test.go
+++ b/src/feed/relay_test.go
@@ -50,7 +50,7 @@
 	n := newZonedNet(t, "x", "y", "z")
 	_, s := n.newGateway("z", nil)
 	eventually(t, "only the node of its zone is followed", n.onlyFollows(2))
-	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+	n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	eventually(t, "the replica that another node knows is known", func() bool { _, usable := s.usable("r"); return usable })
 	eventually(t, "all gateways are counted", func() bool {
 		s.mu.Lock()
@@ -68,11 +68,11 @@
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	cut.Set([]string{n.nodes[2].server.Address()})
 	eventually(t, "another one is followed as well", func() bool { return n.subscribers()[0]+n.subscribers()[1] > 0 })
-	n.nodes[1].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+	n.nodes[1].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	eventually(t, "the update arrives", func() bool { _, usable := s.usable("r"); return usable })
 	cut.Set(nil)
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
-	eventually(t, "that one is connected", func() bool { return f.Live() == 1 })
+	eventually(t, "that one is connected", func() bool { return f.ConnectedNodes() == 1 })
 	_, usable := s.usable("r")
 	if !usable {
 		t.Error("the other node's update is lost")
@@ -86,9 +86,9 @@
 	_, s := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	n.nodes[2].cut.Set([]string{n.nodes[0].server.Address(), n.nodes[1].server.Address()})
-	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+	n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	eventually(t, "the update of the other nodes arrives", func() bool { _, usable := s.usable("r"); return usable })
-	n.nodes[2].publisher.Hear(context.Background(), registry.Record{ID: "q", Sequence: 1})
+	n.nodes[2].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "q", Sequence: 1})
 	eventually(t, "news of the own zone arrives", func() bool { _, usable := s.usable("q"); return usable })
 	n.nodes[2].cut.Set(nil)
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
@@ -114,7 +114,7 @@
 	n := newZonedNet(t, "x", "y", "z")
 	f, _ := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
-	eventually(t, "its confirmation is known", func() bool { return !f.Known().Confirmed.IsZero() })
+	eventually(t, "its confirmation is known", func() bool { return !f.View().Confirmed.IsZero() })
 	n.nodes[2].unconfirmed.Store(true)
 	eventually(t, "another one is followed beside it", func() bool {
 		counts := n.subscribers()
@@ -134,9 +134,9 @@
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
 	n.nodes[2].cut.Set(others)
 	cut.Set(others)
-	n.nodes[2].publisher.Hear(context.Background(), registry.Record{ID: "q", Sequence: 1})
+	n.nodes[2].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "q", Sequence: 1})
 	eventually(t, "news of the own zone arrives", func() bool { _, usable := s.usable("q"); return usable })
-	if f.Live() != 1 {
+	if f.ConnectedNodes() != 1 {
 		t.Error("want only the own zone's node connected")
 	}
 }
@@ -176,7 +176,7 @@
 		defer s.mu.Unlock()
 		return len(s.versions) == 2 && s.versions[1] == 5
 	})
-	if f.Live() != 1 {
+	if f.ConnectedNodes() != 1 {
 		t.Error("want no node but the own zone's connected")
 	}
 }
@@ -186,15 +186,15 @@
 func TestTwoControlNodesThatDisagree(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	for _, node := range n.nodes {
-		node.publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+		node.publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	}
 	_, s := n.newGateway("z", nil)
 	eventually(t, "the replica is known", func() bool { _, usable := s.usable("r"); return usable })
 	n.nodes[2].cut.Set([]string{n.nodes[0].server.Address(), n.nodes[1].server.Address()})
 	eventually(t, "another node is followed as well", func() bool { return n.subscribers()[0]+n.subscribers()[1] > 0 })
-	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true})
+	n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true})
 	eventually(t, "the replica leaves", func() bool { _, usable := s.usable("r"); return !usable })
-	n.nodes[2].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+	n.nodes[2].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	time.Sleep(3 * batchDelay)
 	if _, usable := s.usable("r"); usable {
 		t.Error("the replica counts as running again")
@@ -215,7 +215,7 @@
 	var update wire.FeedUpdate
 	is.NoErr(json.Unmarshal(first.Params(), &update))
 	is.True(update.Full)
-	n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1, InMemory: []string{"m"}})
+	n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1, InMemory: []string{"m"}})
 	eventually(t, "there is a newer state", func() bool {
 		next, _, _, _ := r.next(state)
 		update = wire.FeedUpdate{}
@@ -226,7 +226,7 @@
 	is.Equal(len(update.Standings[0].Record.InMemory), 0) // only placement needs it
 }
 
-// TestTellReachesEveryGatewayOfANode checks that Tell reaches a gateway that follows the node, and
+// TestTellReachesEveryGatewayOfANode checks that Broadcast reaches a gateway that follows the node, and
 // that one that has left is forgotten.
 func TestTellReachesEveryGatewayOfANode(t *testing.T) {
 	n := newTestNet(t, 1)
@@ -242,7 +242,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.nodes[0].relay.Tell(backlogs)
+	n.nodes[0].relay.Broadcast(backlogs)
 	if got := <-received; string(got.Packed) != "\x01\x02" {
 		t.Errorf("the gateway received %v", got.Packed)
 	}
--- a/src/feed/selection_test.go
+++ b/src/feed/selection_test.go
@@ -129,9 +129,9 @@
 	f.updateFollowedAt(now)
 	s := f.sources[fiveNodes[0].Address]
 	f.handleUpdate(s, wire.FeedUpdate{ConfirmedMS: 300})
-	is.Equal(f.Known().Confirmed, now.Add(-300*time.Millisecond))
+	is.Equal(f.View().Confirmed, now.Add(-300*time.Millisecond))
 	f.handleUpdate(s, wire.FeedUpdate{})
-	is.True(f.Known().Confirmed.IsZero())
+	is.True(f.View().Confirmed.IsZero())
 }
 
 // TestTheOwnZonesControlNodeIsFollowedAsSoonAsItIsKnown covers a gateway that is already following
@@ -191,7 +191,7 @@
 func TestBatchDelayGrowsWithTheGateways(t *testing.T) {
 	is := is.New(t)
 	r, _ := newManualRelay(t)
-	is.Equal(r.Join(), batchDelay)
+	is.Equal(r.BatchDelay(), batchDelay)
 	r.gateways.Store(295)
-	is.Equal(r.Join(), 295*batchDelayPerGateway)
+	is.Equal(r.BatchDelay(), 295*batchDelayPerGateway)
 }
--- a/src/feed/known.go
+++ b/src/feed/view.go
@@ -7,8 +7,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Known is a follower's merged view of the control nodes, without the replicas themselves.
-type Known struct {
+// View is a follower's merged view of the control nodes, without the replicas themselves.
+type View struct {
 	// Stamp is that of the newest change of a replica.
 	Stamp    uint64
 	Holdings *wire.Holdings
@@ -19,8 +19,8 @@
 	// Confirmed is when Version was last known to be the newest accepted configuration, as reported
 	// by the sources that have it; the zero time if none reports it.
 	Confirmed time.Time
-	// Reach is the number of connected control nodes.
-	Reach int
+	// ConnectedNodes is the number of connected control nodes.
+	ConnectedNodes int
 	// Gateways is the number of gateways that follow any control node.
 	Gateways int
 	// Zones are the known availability zones of control nodes, by address.
@@ -28,7 +28,7 @@
 }
 
 // members returns the control nodes at the addresses, with their availability zones where known.
-func (k *Known) members(addresses []string) []wire.Member {
+func (k *View) members(addresses []string) []wire.Member {
 	members := make([]wire.Member, 0, len(addresses))
 	for _, address := range addresses {
 		members = append(members, wire.Member{Address: address, Zone: k.Zones[address]})
@@ -36,11 +36,11 @@
 	return members
 }
 
-// Known returns the current merged view.
-func (f *Follower) Known() Known {
+// View returns the current merged view.
+func (f *Follower) View() View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := Known{Stamp: f.directory.Stamp(), Holdings: f.holdings, Drains: f.drains, Reach: f.live(), Gateways: f.gateways(f.now()), Zones: map[string]string{}}
+	known := View{Stamp: f.directory.Stamp(), Holdings: f.holdings, Drains: f.drains, ConnectedNodes: f.live(), Gateways: f.gateways(f.now()), Zones: map[string]string{}}
 	for _, s := range f.sources {
 		if s.live {
 			known.mergeVersion(s)
@@ -53,7 +53,7 @@
 }
 
 // mergeVersion merges the version of a connected source and the time of its confirmation.
-func (k *Known) mergeVersion(s *source) {
+func (k *View) mergeVersion(s *source) {
 	switch {
 	case s.version > k.Version:
 		k.Version, k.Confirmed = s.version, s.confirmedAt
--- a/src/fleet/admission.go
+++ b/src/fleet/admission.go
@@ -21,7 +21,7 @@
 
 // askAdmission asks the nearest control node to admit a request.
 func (g *gateway) askAdmission(ctx context.Context, request wire.AdmitRequest) (wire.AdmitReply, error) {
-	return feed.Ask[wire.AdmitReply](ctx, g.follower, wire.MethodAdmit, request)
+	return feed.CallHedged[wire.AdmitReply](ctx, g.follower, wire.MethodAdmit, request)
 }
 
 // inForce returns the version of the configuration that the gateway uses, and whether it requires
@@ -31,7 +31,7 @@
 	if table == nil {
 		return 0, false
 	}
-	return table.Version(), table.Keyed()
+	return table.Version(), table.KeysRequired()
 }
 
 // buildGranter creates what admits the gateways' requests, and registers its methods.
@@ -84,7 +84,7 @@
 
 // askDraw asks the leader for quota that no control node holds.
 func (c *controlNode) askDraw(ctx context.Context, request wire.ReserveRequest) (wire.ReserveReply, error) {
-	if reply := c.granter.Reserve(ctx, request); reply.Admission != wire.Unsure {
+	if reply := c.granter.Reserve(ctx, request); reply.Admission != wire.AdmissionUncertain {
 		return reply, nil
 	}
 	var reply wire.ReserveReply
--- a/src/fleet/calls.go
+++ b/src/fleet/calls.go
@@ -17,10 +17,10 @@
 			c.proc.Ring().Add(event.Event{Kind: event.ConfigRefused, Reason: reason})
 		},
 		OrderZone:        c.orderZone,
-		Hear:             c.publisher.Hear,
+		ApplyHeartbeat:   c.publisher.ApplyHeartbeat,
 		HeartbeatRefused: c.heartbeatRefused,
 		UnknownFields:    c.unknown.record,
-		Remove:           c.publisher.Remove,
+		HandleEnd:        c.publisher.HandleEnd,
 	}
 }
 
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -206,19 +206,19 @@
 
 		Confirmed: c.cluster.Confirmed,
 
-		Members:  c.cluster.Members,
-		Peers:    c.cluster.Peers,
-		Majority: c.cluster.Majority,
-		Leading:  func() bool { return c.cluster.Leadership().Self },
-		Note:     c.sendRecord,
+		Members:       c.cluster.Members,
+		Peers:         c.cluster.Peers,
+		Majority:      c.cluster.Majority,
+		Leading:       func() bool { return c.cluster.Leadership().Self },
+		SendDeparture: c.sendRecord,
 
 		Quarantine: c.sharedQuarantine.Load,
 		Drains:     c.cluster.Drains,
 
 		Save: c.saveReplicas(folder.Replicas()),
 
-		Serves:  c.serves,
-		Misread: c.heartbeatRefused,
+		Serves:           c.serves,
+		HeartbeatRefused: c.heartbeatRefused,
 	}
 	c.publisher = feed.NewPublisher(c.settings.Node, c.settings.Zone, times, cluster, clock.Now)
 	c.restoreReplicas(folder.Replicas())
@@ -234,7 +234,7 @@
 		Ring:    c.proc.Ring(),
 		Now:     clock.Now,
 	})
-	c.buildDesk()
+	c.buildDispatchers()
 	c.usage = exchange.NewDemand()
 	c.proc.Mux().Handle(wire.MethodUsage, rpc.Typed(c.handleUsage))
 	c.proc.Mux().Handle(wire.MethodUsageSum, rpc.Typed(c.handleUsageSum))
@@ -243,8 +243,8 @@
 	c.proc.Mux().Handle(wire.MethodLoad, rpc.Typed(c.handleLoad))
 	c.proc.Mux().Handle(wire.MethodLoadSum, rpc.Typed(c.handleLoadSum))
 	c.backlog = loadview.NewBacklog()
-	c.proc.Mux().Handle(wire.MethodSent, rpc.Typed(c.handleSent))
-	c.proc.Mux().Handle(wire.MethodSentSum, rpc.Typed(c.handleSentSum))
+	c.proc.Mux().Handle(wire.MethodSentPrompts, rpc.Typed(c.handleSent))
+	c.proc.Mux().Handle(wire.MethodSentPromptsSum, rpc.Typed(c.handleSentSum))
 	c.restoreQuarantine()
 	c.proc.Mux().Handle(wire.MethodQuarantine, rpc.Typed(c.handleQuarantine))
 	c.proc.Mux().Handle(wire.MethodQuarantineList, rpc.Typed(c.listQuarantine))
@@ -299,7 +299,7 @@
 func (c *controlNode) sendRecord(ctx context.Context, address string, record registry.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	return c.links.Client(address).Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
+	return c.links.Client(address).Call(ctx, wire.MethodDeparture, wire.DepartureRequest{Record: record}, nil)
 }
 
 // serve runs the node until a signal or a disk failure.
--- a/src/fleet/gateway.go
+++ b/src/fleet/gateway.go
@@ -117,13 +117,13 @@
 		Fleet:  g.fleet,
 		Budget: exchange.BudgetLimits{Ratio: settings.Retry.Ratio, Extra: settings.Retry.Extra, Window: settings.Retry.Window.Std()},
 		Admission: exchange.Admission{
-			Admit:      g.gate.Admit,
-			Return:     g.gate.Return,
-			Trusted:    g.gate.Trusted,
-			AwaitTrust: g.gate.AwaitTrust,
-			Now:        clock.Now,
+			Admit:             g.gate.Admit,
+			Return:            g.gate.Return,
+			Confirmed:         g.gate.Confirmed,
+			AwaitConfirmation: g.gate.AwaitConfirmation,
+			Now:               clock.Now,
 		},
-		Slots:   exchange.Slots{Request: g.askPlace, Release: g.releasePlace},
+		Slots:   exchange.Slots{Request: g.requestSlot, Release: g.releaseSlot},
 		Permits: exchange.Permits{Request: g.askPermit},
 		Tracker: g.tracker,
 		Demand:  g.demand,
@@ -132,11 +132,11 @@
 		Now:     time.Now,
 		Unknown: newUnknownNames(proc).record,
 
-		RetainBytes: int64(retainShare * float64(settings.MemoryMB) * (1 << 20)),
+		MaxRetainedBytes: int64(retainShare * float64(settings.MemoryMB) * (1 << 20)),
 	})
 	g.buildFollower()
 	proc.SetRefresh(func(m *metric.Registry) {
-		setGatewayGauges(clock.Now(), m, g.handler.Table(), g.follower.Known())
+		setGatewayGauges(clock.Now(), m, g.handler.Table(), g.follower.View())
 		setAvailabilityGauges(m, g.fleet)
 	})
 	if err := proc.Serve(); err != nil {
@@ -223,17 +223,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.demand.Asked():
+		case <-g.demand.Changed():
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(demandInterval):
-		case <-g.demand.Urgent():
+		case <-g.demand.MissingCopy():
 			time.Sleep(demandBatchDelay)
 		}
 		if models := g.demand.Drain(); len(models) > 0 {
-			g.follower.NotifyNearest(ctx, wire.MethodUsage, wire.Usage{Node: g.settings.Node, Models: models})
+			g.follower.NotifyBest(ctx, wire.MethodUsage, wire.Usage{Node: g.settings.Node, Models: models})
 		}
 	}
 }
@@ -246,7 +246,7 @@
 		gateways, replicas := g.handler.Gateways(), g.fleet.Replicas()
 		var nextReport <-chan time.Time
 		if !idle {
-			nextReport = time.After(loadview.Interval(gateways, replicas))
+			nextReport = time.After(loadview.ReportInterval(gateways, replicas))
 		}
 		select {
 		case <-ctx.Done():
@@ -255,9 +255,9 @@
 		case <-g.fleet.RequestSent():
 		}
 		report := wire.LoadReport{Node: g.settings.Node, Loads: g.fleet.Loads()}
-		g.follower.NotifyNearest(ctx, wire.MethodLoad, report)
+		g.follower.NotifyBest(ctx, wire.MethodLoad, report)
 		idle = len(report.Loads) == 0
-		time.Sleep(loadview.Pause(gateways, replicas))
+		time.Sleep(loadview.RoundInterval(gateways, replicas))
 	}
 }
 
@@ -269,8 +269,8 @@
 			return
 		case <-g.fleet.PromptsSent():
 		}
-		time.Sleep(loadview.BacklogJoin)
-		g.follower.NotifyNearest(ctx, wire.MethodSent, g.fleet.DrainPrompts())
+		time.Sleep(loadview.BacklogBatchDelay)
+		g.follower.NotifyBest(ctx, wire.MethodSentPrompts, g.fleet.DrainPrompts())
 	}
 }
 
@@ -284,8 +284,8 @@
 			return
 		case <-ticker.C:
 			now := time.Now()
-			g.fleet.Tidy(now)
-			g.handler.Tidy(now)
+			g.fleet.Expire(now)
+			g.handler.Expire(now)
 			g.tracker.Sweep(now)
 		}
 	}
--- a/src/fleet/gauges.go
+++ b/src/fleet/gauges.go
@@ -71,14 +71,14 @@
 
 // setGatewayGauges sets the gauges of the configuration that a gateway uses, nil if there is none
 // yet, and of the newest that it knows to exist.
-func setGatewayGauges(now time.Time, m *metric.Registry, table *catalog.Table, known feed.Known) {
+func setGatewayGauges(now time.Time, m *metric.Registry, table *catalog.Table, known feed.View) {
 	version := uint64(0)
 	if table != nil {
 		version = table.Version()
 	}
 	m.Gauge("configuration_version", float64(version))
 	m.Gauge("configuration_version_told", float64(known.Version))
-	m.Gauge("control_nodes_followed", float64(known.Reach))
+	m.Gauge("control_nodes_followed", float64(known.ConnectedNodes))
 	if !known.Confirmed.IsZero() {
 		m.Gauge("configuration_confirmed_age_seconds", now.Sub(known.Confirmed).Seconds())
 	}
@@ -91,8 +91,8 @@
 	m.Gauge("replicas_backing_off", float64(backingOff))
 	m.Gauge("replicas_leaving_told", float64(leaving))
 	m.Gauge("zones_drained", float64(f.DrainedZones()))
-	m.Gauge("replicas_cold", float64(f.Cold()))
-	m.Gauge("replicas_limited", float64(f.Limited()))
+	m.Gauge("replicas_cold", float64(f.ColdReplicas()))
+	m.Gauge("replicas_limited", float64(f.LimitedReplicas()))
 }
 
 // boolValue converts a boolean to a gauge value.
--- a/src/fleet/interface.go
+++ b/src/fleet/interface.go
@@ -47,12 +47,12 @@
 	ConfigurationRefused func(reason string)
 	// OrderZone starts or ends the drain of an availability zone.
 	OrderZone func(ctx context.Context, zone string, drain bool) ZoneOrderResult
-	// Hear handles a replica's heartbeat; it reports whether to acknowledge it.
-	Hear func(ctx context.Context, record registry.Record) bool
+	// ApplyHeartbeat handles a replica's heartbeat; it reports whether to acknowledge it.
+	ApplyHeartbeat func(ctx context.Context, record registry.Record) bool
 	// HeartbeatRefused is told why a heartbeat in a replica's name is malformed.
 	HeartbeatRefused func(name, reason string)
 	// UnknownFields is told the unknown fields of a replica's heartbeat.
 	UnknownFields func(name string, fields []string)
-	// Remove handles a replica's deregistration; it reports whether to acknowledge it.
-	Remove func(ctx context.Context, id string) bool
+	// HandleEnd handles a replica's deregistration; it reports whether to acknowledge it.
+	HandleEnd func(ctx context.Context, id string) bool
 }
--- a/src/fleet/permit.go
+++ b/src/fleet/permit.go
@@ -86,7 +86,7 @@
 
 // askPermit asks the nearest control node for a permit.
 func (g *gateway) askPermit(ctx context.Context, request wire.PermitRequest) (wire.PermitReply, error) {
-	return feed.AskOne[wire.PermitReply](ctx, g.follower, wire.MethodPermit, request)
+	return feed.CallBest[wire.PermitReply](ctx, g.follower, wire.MethodPermit, request)
 }
 
 // buildPermits creates what issues permits for cold and limited replicas, and registers its
@@ -227,5 +227,5 @@
 		c.proc.Ring().Add(event.Event{Kind: event.NewsNotSent, Reason: err.Error()})
 		return
 	}
-	c.relay.Tell(n)
+	c.relay.Broadcast(n)
 }
--- a/src/fleet/quarantine.go
+++ b/src/fleet/quarantine.go
@@ -77,14 +77,14 @@
 func (g *gateway) reportEnds(ctx context.Context, entries []quarantine.Entry) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err := feed.Ask[wire.Empty](ctx, g.follower, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
+	_, err := feed.CallHedged[wire.Empty](ctx, g.follower, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 	return err == nil
 }
 
 // repeatEnds sends this gateway's recent observations to the nearest control node again.
 func (g *gateway) repeatEnds(ctx context.Context) {
 	if entries := g.tracker.OwnWithin(time.Now(), reportDuration); len(entries) > 0 {
-		g.follower.NotifyNearest(ctx, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
+		g.follower.NotifyBest(ctx, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 	}
 }
 
@@ -139,7 +139,7 @@
 			go c.notify(ctx, address, wire.MethodQuarantine, wire.Quarantine{Entries: entries})
 		}
 		c.sharedQuarantine.Store(&wire.Quarantine{Entries: c.quarantine.Entries(now, minSharedEnds)})
-		c.relay.Wake()
+		c.relay.QuarantineChanged()
 		c.toSave.Raise()
 	}
 }
--- a/src/fleet/share.go
+++ b/src/fleet/share.go
@@ -25,7 +25,7 @@
 
 // handleLoadSum handles the sum of another control node's gateways.
 func (c *controlNode) handleLoadSum(_ context.Context, _ *rpc.Peer, sum wire.LoadReport) (wire.Empty, error) {
-	c.board.TakeSum(clock.Now(), sum)
+	c.board.RecordSum(clock.Now(), sum)
 	return wire.Empty{}, nil
 }
 
@@ -39,7 +39,7 @@
 			return
 		case <-c.board.Changed():
 		}
-		totals, sum, notify := c.board.Round(clock.Now())
+		totals, sum, notify := c.board.Totals(clock.Now())
 		for _, send := range notify {
 			go send(totals)
 		}
@@ -49,7 +49,7 @@
 				go c.notify(ctx, address, wire.MethodLoadSum, sum)
 			}
 		}
-		time.Sleep(c.sharePause(loadview.Pause(c.follower.Gateways(), c.publisher.Replicas())))
+		time.Sleep(c.sharePause(loadview.RoundInterval(c.follower.Gateways(), c.publisher.Replicas())))
 	}
 }
 
@@ -57,7 +57,7 @@
 // that sending to all of them may take: a node that has just started knows few replicas but has all
 // its gateways.
 func (c *controlNode) sharePause(pause time.Duration) time.Duration {
-	return max(pause, c.relay.Join())
+	return max(pause, c.relay.BatchDelay())
 }
 
 // notify sends a notification to one control node; a lost one is corrected by the next.
@@ -68,13 +68,13 @@
 }
 
 // handleSent handles a gateway's report on the prompts that it has sent.
-func (c *controlNode) handleSent(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
+func (c *controlNode) handleSent(_ context.Context, _ *rpc.Peer, report wire.SentPromptsReport) (wire.Empty, error) {
 	c.backlog.Add(clock.Now(), report.Sent, true)
 	return wire.Empty{}, nil
 }
 
 // handleSentSum handles the prompts sent by the gateways of another control node.
-func (c *controlNode) handleSentSum(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
+func (c *controlNode) handleSentSum(_ context.Context, _ *rpc.Peer, report wire.SentPromptsReport) (wire.Empty, error) {
 	c.backlog.Add(clock.Now(), report.Sent, false)
 	return wire.Empty{}, nil
 }
@@ -85,12 +85,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.backlog.Passable():
+		case <-c.backlog.Forwardable():
 		}
-		time.Sleep(loadview.BacklogJoin)
-		own := wire.SentReport{Sent: c.backlog.Own()}
+		time.Sleep(loadview.BacklogBatchDelay)
+		own := wire.SentPromptsReport{Sent: c.backlog.TakeOwn()}
 		for _, address := range c.cluster.Peers() {
-			go c.notify(ctx, address, wire.MethodSentSum, own)
+			go c.notify(ctx, address, wire.MethodSentPromptsSum, own)
 		}
 	}
 }
@@ -108,8 +108,8 @@
 		if err != nil {
 			c.proc.Ring().Add(event.Event{Kind: event.NewsNotSent, Reason: err.Error()})
 		} else {
-			c.relay.Tell(totals)
+			c.relay.Broadcast(totals)
 		}
-		time.Sleep(c.sharePause(loadview.BacklogPause(c.follower.Gateways(), c.publisher.Replicas())))
+		time.Sleep(c.sharePause(loadview.BacklogInterval(c.follower.Gateways(), c.publisher.Replicas())))
 	}
 }
--- a/src/fleet/usage.go
+++ b/src/fleet/usage.go
@@ -42,13 +42,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.usage.Asked():
+		case <-c.usage.Changed():
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(usageInterval):
-		case <-c.usage.Urgent():
+		case <-c.usage.MissingCopy():
 			time.Sleep(usageBatchDelay)
 		}
 		models := c.usage.Drain()
@@ -65,8 +65,8 @@
 }
 
 // withoutMissing removes the counts of missing copies, on which only the leader acts.
-func withoutMissing(models []wire.Asked) []wire.Asked {
-	reduced := make([]wire.Asked, 0, len(models))
+func withoutMissing(models []wire.ModelUsage) []wire.ModelUsage {
+	reduced := make([]wire.ModelUsage, 0, len(models))
 	for _, asked := range models {
 		asked.Missing = 0
 		reduced = append(reduced, asked)
--- a/src/gateway/claim.go
+++ b/src/gateway/claim.go
@@ -51,7 +51,7 @@
 		go claim.release()
 		return nil, r.refuse(consts.StatusServiceUnavailable, ReasonNoControlNode, DidNotRun, "no control node could say whether the key was used before").retryAfter(defaultRetryAfter)
 	}
-	if reply.State == wire.ClaimYours {
+	if reply.State == wire.ClaimAcquired {
 		return claim, nil
 	}
 	refusal := r.refuse(consts.StatusConflict, ReasonClaimed, DidNotRun, "the key was claimed before; this call was not run")
@@ -94,7 +94,7 @@
 	case refusal.NotRun == DidNotRun:
 		go c.release()
 	default:
-		go c.report(wire.SettleRequest{Key: c.key, Token: c.token, State: wire.ClaimLost})
+		go c.report(wire.SettleRequest{Key: c.key, Token: c.token, State: wire.ClaimUnknown})
 	}
 }
 
--- a/src/gateway/fake_test.go
+++ b/src/gateway/fake_test.go
@@ -91,7 +91,7 @@
 	t.Helper()
 	b := &testGateway{t: t, controlNode: &fakeControlNode{update: testSet().Full()}}
 	b.controlNode.claim = func(wire.ClaimRequest) wire.ClaimReply {
-		return wire.ClaimReply{Outcome: wire.Accepted, State: wire.ClaimYours}
+		return wire.ClaimReply{Outcome: wire.Accepted, State: wire.ClaimAcquired}
 	}
 	meter := &rpc.Meter{}
 	controlNode, err := rpc.Listen("127.0.0.1:0", b.controlNode.mux(), meter)
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -237,7 +237,7 @@
 	is.True(strings.Contains(string(answer.Body), string(ReasonOutcomeUnknown)))
 	is.True(strings.Contains(string(answer.Body), `"not_run":"unknown"`))
 	is.Equal(calls.Load(), int64(1))
-	is.Equal((<-settled).State, wire.ClaimLost) // the key stays claimed
+	is.Equal((<-settled).State, wire.ClaimUnknown) // the key stays claimed
 }
 
 func TestOnceCallIsRetriedWhenNothingWasSent(t *testing.T) {
@@ -260,7 +260,7 @@
 	b.fakeHost("h1", func(h *server.Hertz) {
 		h.POST("/register", countCalls(&calls, func(_ context.Context, c *app.RequestContext) { c.String(200, "ok") }))
 	})
-	for _, state := range []wire.ClaimState{wire.ClaimRunning, wire.ClaimDone, wire.ClaimLost} {
+	for _, state := range []wire.ClaimState{wire.ClaimRunning, wire.ClaimDone, wire.ClaimUnknown} {
 		b.controlNode.claim = func(wire.ClaimRequest) wire.ClaimReply {
 			return wire.ClaimReply{Outcome: wire.Accepted, State: state}
 		}
--- a/src/gateway/routes.go
+++ b/src/gateway/routes.go
@@ -352,7 +352,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.position[zone]
-	return wire.DemandReport{Node: r.node, Taken: at.seq, Epoch: at.epoch}
+	return wire.DemandReport{Node: r.node, AppliedSeq: at.seq, Epoch: at.epoch}
 }
 
 // reportDue reports whether a report without demand is due. A new position is
@@ -362,7 +362,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := r.lastReports[zone]
-	if last.position == (position{epoch: report.Epoch, seq: report.Taken}) && now.Sub(last.sentAt) < unchangedReportInterval {
+	if last.position == (position{epoch: report.Epoch, seq: report.AppliedSeq}) && now.Sub(last.sentAt) < unchangedReportInterval {
 		return false
 	}
 	return true
@@ -371,7 +371,7 @@
 func (r *Routes) recordReport(zone string, report wire.DemandReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lastReports[zone] = sentReport{position: position{epoch: report.Epoch, seq: report.Taken}, sentAt: now}
+	r.lastReports[zone] = sentReport{position: position{epoch: report.Epoch, seq: report.AppliedSeq}, sentAt: now}
 }
 
 // KnownZones returns the number of zones whose routes are known.
--- a/src/loadview/backlog.go
+++ b/src/loadview/backlog.go
@@ -16,9 +16,9 @@
 	// faults at 295 gateways took 763 s of processor time in 55 s of traffic, against 597 s in 67 s
 	// without backlogs.
 	maxBacklogInterval = 90 * time.Millisecond
-	// BacklogJoin is how long a gateway or control node collects sent prompts before it reports
+	// BacklogBatchDelay is how long a gateway or control node collects sent prompts before it reports
 	// them.
-	BacklogJoin = 5 * time.Millisecond
+	BacklogBatchDelay = 5 * time.Millisecond
 	// minBacklog is the shortest backlog that is reported: a replica with less is about to be idle
 	// when the report arrives.
 	minBacklog = 30 * time.Millisecond
@@ -27,9 +27,9 @@
 	maxBacklog = 2 * time.Second
 )
 
-// BacklogPause returns the interval between two rounds of backlogs.
-func BacklogPause(gateways, replicas int) time.Duration {
-	return min(Pause(gateways, replicas), maxBacklogInterval)
+// BacklogInterval returns the interval between two rounds of backlogs.
+func BacklogInterval(gateways, replicas int) time.Duration {
+	return min(RoundInterval(gateways, replicas), maxBacklogInterval)
 }
 
 // Backlog estimates until when each replica is busy reading the prompts that all gateways have sent
@@ -79,11 +79,11 @@
 // Changed returns a channel that delivers when prompts were added since it last did.
 func (b *Backlog) Changed() <-chan struct{} { return b.changed.Raised() }
 
-// Passable returns a channel that delivers when there are prompts that Own has not returned.
-func (b *Backlog) Passable() <-chan struct{} { return b.forwardable.Raised() }
+// Forwardable returns a channel that delivers when there are prompts that TakeOwn has not returned.
+func (b *Backlog) Forwardable() <-chan struct{} { return b.forwardable.Raised() }
 
-// Own returns the prompts to forward to the other control nodes, each of them once.
-func (b *Backlog) Own() []wire.Sent {
+// TakeOwn returns the prompts to forward to the other control nodes, each of them once.
+func (b *Backlog) TakeOwn() []wire.Sent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.own
--- a/src/loadview/backlog_test.go
+++ b/src/loadview/backlog_test.go
@@ -54,14 +54,14 @@
 	b := NewBacklog()
 	b.Add(baseTime, []wire.Sent{{Replica: "other", ReadMS: 50}}, false)
 	select {
-	case <-b.Passable():
+	case <-b.Forwardable():
 		t.Error("there is nothing to forward")
 	default:
 	}
 	b.Add(baseTime, []wire.Sent{{Replica: "own", ReadMS: 60}}, true)
-	<-b.Passable()
-	is.Equal(b.Own(), []wire.Sent{{Replica: "own", ReadMS: 60}})
-	is.Equal(len(b.Own()), 0)
+	<-b.Forwardable()
+	is.Equal(b.TakeOwn(), []wire.Sent{{Replica: "own", ReadMS: 60}})
+	is.Equal(len(b.TakeOwn()), 0)
 	is.Equal(len(unpacked(b, baseTime)), 2)
 }
 
@@ -69,6 +69,6 @@
 // reading prompts, the backlogs sent to a gateway take at most a quarter of a small host's link.
 func TestBacklogTrafficIsBounded(t *testing.T) {
 	const replicas, linkBytes = 780, 10_000_000 / 8
-	perSecond := replicas * entryBytes * 4 / 3 * int(time.Second/BacklogPause(340, replicas))
+	perSecond := replicas * entryBytes * 4 / 3 * int(time.Second/BacklogInterval(340, replicas))
 	is.New(t).True(perSecond <= linkBytes/4)
 }
--- a/src/loadview/board.go
+++ b/src/loadview/board.go
@@ -54,10 +54,10 @@
 // Changed returns a channel that delivers when there were new reports since it last did.
 func (b *Board) Changed() <-chan struct{} { return b.changed.Raised() }
 
-// Round returns the totals over all gateways, the sum over the gateways that report to this node,
+// Totals returns the totals over all gateways, the sum over the gateways that report to this node,
 // and functions that send totals to these gateways, each to be called once. Gateways that are still
 // being sent earlier totals are left out.
-func (b *Board) Round(now time.Time) (totals, sum wire.LoadReport, send []func(wire.LoadReport)) {
+func (b *Board) Totals(now time.Time) (totals, sum wire.LoadReport, send []func(wire.LoadReport)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum.Loads = b.sum(now, b.gateways)
@@ -73,8 +73,8 @@
 	return totals, sum, send
 }
 
-// TakeSum records another control node's sum over the gateways that report to it.
-func (b *Board) TakeSum(now time.Time, sum wire.LoadReport) {
+// RecordSum records another control node's sum over the gateways that report to it.
+func (b *Board) RecordSum(now time.Time, sum wire.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.nodes[sum.Node] = latestReport{loads: sum.Loads, at: now}
--- a/src/loadview/board_test.go
+++ b/src/loadview/board_test.go
@@ -31,7 +31,7 @@
 			if rapid.Bool().Draw(t, "a control node") {
 				node = "control " + node
 				sent.Node = node
-				b.TakeSum(baseTime, sent)
+				b.RecordSum(baseTime, sent)
 			} else {
 				b.Report(baseTime, sent, discard)
 			}
@@ -42,7 +42,7 @@
 			want.Running += load.Running
 			want.UnreadMS += load.UnreadMS
 		}
-		totals, _, _ := b.Round(baseTime)
+		totals, _, _ := b.Totals(baseTime)
 		if len(totals.Loads) != 1 || totals.Loads[0] != want {
 			t.Fatalf("totals %+v, want %+v", totals.Loads, want)
 		}
@@ -53,8 +53,8 @@
 	is := is.New(t)
 	b := NewBoard()
 	b.Report(baseTime, report("gateway", "r", 2, 30), discard)
-	b.TakeSum(baseTime, report("control", "r", 5, 70))
-	totals, sum, _ := b.Round(baseTime)
+	b.RecordSum(baseTime, report("control", "r", 5, 70))
+	totals, sum, _ := b.Totals(baseTime)
 	is.Equal(totals.Loads, []wire.ReplicaLoad{{Replica: "r", Running: 7, UnreadMS: 100}})
 	is.Equal(sum.Loads, []wire.ReplicaLoad{{Replica: "r", Running: 2, UnreadMS: 30}})
 }
@@ -65,8 +65,8 @@
 	is := is.New(t)
 	b := NewBoard()
 	b.Report(baseTime, report("gateway", "r", 2, 30), discard)
-	b.TakeSum(baseTime, report("control", "q", 5, 70))
-	totals, _, send := b.Round(baseTime.Add(reportLifetime + 1))
+	b.RecordSum(baseTime, report("control", "q", 5, 70))
+	totals, _, send := b.Totals(baseTime.Add(reportLifetime + 1))
 	is.Equal(len(totals.Loads), 0)
 	is.Equal(len(send), 0)
 }
@@ -78,13 +78,13 @@
 	b := NewBoard()
 	b.Report(baseTime, report("hangs", "r", 1, 1), discard)
 	b.Report(baseTime, report("sound", "r", 1, 1), discard)
-	_, _, first := b.Round(baseTime)
+	_, _, first := b.Totals(baseTime)
 	is.Equal(len(first), 2)
 	b.Report(baseTime, report("hangs", "r", 2, 2), discard)
-	_, _, second := b.Round(baseTime)
+	_, _, second := b.Totals(baseTime)
 	is.Equal(len(second), 0) // neither call has returned
 	first[0](wire.LoadReport{})
-	_, _, third := b.Round(baseTime)
+	_, _, third := b.Totals(baseTime)
 	is.Equal(len(third), 1)
 }
 
@@ -94,11 +94,11 @@
 func TestTrafficOfTotalsIsBounded(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []struct{ gateways, replicas int }{{1, 1}, {7, 15}, {9, 21}, {62, 93}, {89, 145}, {340, 780}} {
-		pause := Pause(size.gateways, size.replicas)
+		pause := RoundInterval(size.gateways, size.replicas)
 		entries := int64(size.gateways*size.replicas) * int64(time.Second) / int64(pause)
 		is.True(entries <= entriesPerSecond || pause == maxInterval)
-		is.True(Interval(size.gateways, size.replicas) >= pause)
-		is.True(Interval(size.gateways, size.replicas) < reportLifetime)
+		is.True(ReportInterval(size.gateways, size.replicas) >= pause)
+		is.True(ReportInterval(size.gateways, size.replicas) < reportLifetime)
 	}
-	is.Equal(Pause(7, 15), minInterval) // a small installation gets the newest totals
+	is.Equal(RoundInterval(7, 15), minInterval) // a small installation gets the newest totals
 }
--- a/src/loadview/interval.go
+++ b/src/loadview/interval.go
@@ -19,13 +19,13 @@
 	entriesPerSecond = 37000
 )
 
-// Interval returns how often a gateway reports that has sent no new requests.
-func Interval(gateways, replicas int) time.Duration {
-	return max(idleInterval, Pause(gateways, replicas))
+// ReportInterval returns how often a gateway reports that has sent no new requests.
+func ReportInterval(gateways, replicas int) time.Duration {
+	return max(idleInterval, RoundInterval(gateways, replicas))
 }
 
-// Pause returns the shortest interval between two reports, or between two rounds of totals.
-func Pause(gateways, replicas int) time.Duration {
+// RoundInterval returns the shortest interval between two reports, or between two rounds of totals.
+func RoundInterval(gateways, replicas int) time.Duration {
 	pause := time.Duration(gateways*replicas) * time.Second / entriesPerSecond
 	return min(max(pause, minInterval), maxInterval)
 }
--- a/src/member/host.go
+++ b/src/member/host.go
@@ -102,14 +102,14 @@
 	}
 }
 
-// SaidLeaving processes the host's announcement that it is leaving, forwarded by a gateway.
-func (h *Host) SaidLeaving(now time.Time) {
+// AnnouncedLeaving processes the host's announcement that it is leaving, forwarded by a gateway.
+func (h *Host) AnnouncedLeaving(now time.Time) {
 	h.ownLeaving = true
 	h.evaluate(now)
 }
 
-// Tick updates the state to the current time.
-func (h *Host) Tick(now time.Time) { h.evaluate(now) }
+// Update updates the state to the current time.
+func (h *Host) Update(now time.Time) { h.evaluate(now) }
 
 func (h *Host) evaluate(now time.Time) {
 	if h.listedLeaving || h.ownLeaving {
--- a/src/member/host_test.go
+++ b/src/member/host_test.go
@@ -20,7 +20,7 @@
 	is.Equal(h.State(), Joining)
 	h.Answered(false, baseTime)
 	is.Equal(h.State(), Live)
-	h.Tick(baseTime.Add(SuspectAfter + 1))
+	h.Update(baseTime.Add(SuspectAfter + 1))
 	is.Equal(h.State(), Suspect)
 	h.Answered(false, baseTime.Add(2*SuspectAfter)) // wrongly suspected, live again
 	is.Equal(h.State(), Live)
@@ -47,7 +47,7 @@
 	h.Answered(false, baseTime)
 	h.Unlisted(baseTime)
 	is.Equal(h.State(), Live)
-	h.Tick(baseTime.Add(GoneAfter + 1))
+	h.Update(baseTime.Add(GoneAfter + 1))
 	is.Equal(h.State(), Gone)
 }
 
@@ -70,10 +70,10 @@
 			case 2:
 				h.Unlisted(now)
 			case 3:
-				h.Tick(now)
+				h.Update(now)
 			case 4:
 				ownLeaving = true
-				h.SaidLeaving(now)
+				h.AnnouncedLeaving(now)
 			}
 			if (listedLeaving || ownLeaving) && h.State() == Live {
 				t.Fatal("a leaving host is live")
--- a/src/option/option.go
+++ b/src/option/option.go
@@ -273,7 +273,7 @@
 
 // add records a finding on the setting at a path.
 func (c *checks) add(path, message string) {
-	place := config.NewPlace(c.file, c.root)
+	place := config.NewLocation(c.file, c.root)
 	c.findings = append(c.findings, place.At(path, path+" "+message))
 }
 
--- a/src/placer/placer_bench_test.go
+++ b/src/placer/placer_bench_test.go
@@ -50,7 +50,7 @@
 		p.SetReplicas(registry.Changes{Entries: []registry.Entry{entry(i, 1)}})
 	}
 	for m := range models {
-		p.RecordUsage(wire.Usage{Models: []wire.Asked{{Service: "s", Model: fmt.Sprint("m", m), Requests: 1 + m%20, Tokens: 2000 * (1 + m%20)}}})
+		p.RecordUsage(wire.Usage{Models: []wire.ModelUsage{{Service: "s", Model: fmt.Sprint("m", m), Requests: 1 + m%20, Tokens: 2000 * (1 + m%20)}}})
 	}
 	return p, entry
 }
--- a/src/planner/publisher.go
+++ b/src/planner/publisher.go
@@ -85,7 +85,7 @@
 // demand handles the demand report of a gateway.
 func (p *Publisher) demand(_ context.Context, _ *rpc.Peer, report wire.DemandReport) (wire.Empty, error) {
 	p.mu.Lock()
-	p.appliedBy[report.Node] = appliedSeq{epoch: report.Epoch, seq: report.Taken, at: p.runner.now()}
+	p.appliedBy[report.Node] = appliedSeq{epoch: report.Epoch, seq: report.AppliedSeq, at: p.runner.now()}
 	p.mu.Unlock()
 	p.runner.mu.Lock()
 	defer p.runner.mu.Unlock()
--- a/src/planner/zone.go
+++ b/src/planner/zone.go
@@ -257,7 +257,7 @@
 func (z *Zone) updateMembers(now time.Time) {
 	for _, name := range z.hostNames() {
 		entry := z.members[name]
-		entry.member.Tick(now)
+		entry.member.Update(now)
 		state := entry.member.State()
 		if state == entry.state {
 			continue
--- a/src/registry/incarnation_test.go
+++ b/src/registry/incarnation_test.go
@@ -55,7 +55,7 @@
 			record := heartbeat("i", born, sequence[born], address)
 			record.Draining = drained[born]
 			record.Models = []LoadedModel{{Name: fmt.Sprint("of-", born)}}
-			tables[node].Hear(now, record)
+			tables[node].ApplyHeartbeat(now, record)
 		}
 		for born := int64(1); born <= latest; born++ {
 			call(born, rapid.IntRange(0, 1).Draw(t, "first at"))
@@ -97,8 +97,8 @@
 	table := NewTable(Times{Silence: 5 * time.Second, Forget: time.Minute})
 	draining := heartbeat("i", 7, 4, "a:1")
 	draining.Draining = true
-	table.Hear(testStart, draining)
-	table.Hear(testStart, heartbeat("i", 9, 1, "a:1"))
+	table.ApplyHeartbeat(testStart, draining)
+	table.ApplyHeartbeat(testStart, heartbeat("i", 9, 1, "a:1"))
 	leaver, found := table.EndingStart("i")
 	is.True(found)
 	is.Equal(leaver.StartedMS, int64(7)) // the late notice of the draining start
@@ -133,8 +133,8 @@
 	is.Equal(Incarnation{Name: "i"}.ID(), "i")
 	is.Equal(Incarnation{Name: "i", StartedMS: 7}.ID(), "i@7")
 	table := NewTable(Times{Silence: 5 * time.Second, Forget: time.Minute})
-	table.Hear(testStart, heartbeat("i", 0, 4, "a:1"))
-	is.True(!table.Hear(testStart, heartbeat("i", 0, 3, "a:2"))) // a late heartbeat
+	table.ApplyHeartbeat(testStart, heartbeat("i", 0, 4, "a:1"))
+	is.True(!table.ApplyHeartbeat(testStart, heartbeat("i", 0, 3, "a:2"))) // a late heartbeat
 	d := NewDirectory(time.Minute)
 	d.Apply(testStart, "node", []ReplicaStatus{{Record: heartbeat("i", 9, 1, "a:1")}, {Record: heartbeat("i", 0, 5, "a:2")}})
 	is.Equal(usableStarts(d, "i"), []int64{9}) // a start with a time is preferred to one without
--- a/src/registry/recall_test.go
+++ b/src/registry/recall_test.go
@@ -23,16 +23,16 @@
 func TestRecalledReplicaExpiresWithoutHeartbeat(t *testing.T) {
 	is := is.New(t)
 	before := NewTable(times)
-	before.Hear(baseTime, Record{ID: "a", Address: "x", Sequence: 7})
-	before.Hear(baseTime, Record{ID: "b", Address: "y", Sequence: 7})
-	before.Hear(baseTime, Record{ID: "leaves", Address: "z", Sequence: 7, Draining: true})
+	before.ApplyHeartbeat(baseTime, Record{ID: "a", Address: "x", Sequence: 7})
+	before.ApplyHeartbeat(baseTime, Record{ID: "b", Address: "y", Sequence: 7})
+	before.ApplyHeartbeat(baseTime, Record{ID: "leaves", Address: "z", Sequence: 7, Draining: true})
 	table := NewTable(times)
 	table.Recall(baseTime, before.Records())
 	d := NewDirectory(time.Minute)
 	d.Apply(baseTime, "n", table.Since(0))
 	is.Equal(usable(d), map[string]bool{"a": true, "b": true})
 	stamp := table.Stamp()
-	is.True(table.Hear(baseTime.Add(time.Second), Record{ID: "a", Address: "x", Sequence: 8}))
+	is.True(table.ApplyHeartbeat(baseTime.Add(time.Second), Record{ID: "a", Address: "x", Sequence: 8}))
 	table.Sweep(baseTime.Add(recallGrace + time.Second))
 	d.Apply(baseTime, "n", table.Since(stamp))
 	is.Equal(usable(d), map[string]bool{"a": true})
@@ -41,7 +41,7 @@
 func TestSilentReplicasAreNotRecalled(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	table.Hear(baseTime, Record{ID: "a", Sequence: 1})
+	table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 1})
 	table.Sweep(baseTime.Add(times.Silence + 1))
 	is.Equal(len(table.Records()), 0)
 }
@@ -63,9 +63,9 @@
 		table := NewTable(times)
 		count := rapid.IntRange(2, 8).Draw(t, "incarnations")
 		for i := range count {
-			table.Hear(baseTime, Record{ID: fmt.Sprint("i", 9-i), Address: "x", Sequence: 1})
+			table.ApplyHeartbeat(baseTime, Record{ID: fmt.Sprint("i", 9-i), Address: "x", Sequence: 1})
 			if rapid.Bool().Draw(t, "an earlier one calls again") {
-				table.Hear(baseTime, Record{ID: fmt.Sprint("i", 9-rapid.IntRange(0, i).Draw(t, "which")), Address: "x", Sequence: 2, Slots: i + 1})
+				table.ApplyHeartbeat(baseTime, Record{ID: fmt.Sprint("i", 9-rapid.IntRange(0, i).Draw(t, "which")), Address: "x", Sequence: 2, Slots: i + 1})
 			}
 		}
 		if rapid.Bool().Draw(t, "the node was restarted") {
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -17,8 +17,8 @@
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	is.True(table.Hear(baseTime, Record{ID: "a", Sequence: 5, Slots: 8}))
-	is.True(!table.Hear(baseTime, Record{ID: "a", Sequence: 4, Slots: 2}))
+	is.True(table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 5, Slots: 8}))
+	is.True(!table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 4, Slots: 2}))
 	record, _ := table.Record("a")
 	is.Equal(record.Slots, 8)
 }
@@ -26,13 +26,13 @@
 func TestSilenceIsReportedOnceAndCleared(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	table.Hear(baseTime, Record{ID: "a", Sequence: 1})
+	table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 1})
 	stamp := table.Stamp()
 	is.True(!table.Sweep(baseTime.Add(4 * time.Second)))
 	is.True(table.Sweep(baseTime.Add(6 * time.Second)))
 	is.True(!table.Sweep(baseTime.Add(7 * time.Second)))
 	is.True(table.Since(stamp)[0].Silent)
-	is.True(table.Hear(baseTime.Add(8*time.Second), Record{ID: "a", Sequence: 2}))
+	is.True(table.ApplyHeartbeat(baseTime.Add(8*time.Second), Record{ID: "a", Sequence: 2}))
 	is.True(!table.Since(stamp)[0].Silent)
 	table.Sweep(baseTime.Add(3 * time.Minute))
 	is.Equal(len(table.Since(0)), 0)
@@ -94,7 +94,7 @@
 				d.RemoveSource(now, fmt.Sprint(n))
 				stamps[n] = 0
 			default:
-				nodes[n].Hear(now, record)
+				nodes[n].ApplyHeartbeat(now, record)
 			}
 			d.Apply(now, fmt.Sprint(n), nodes[n].Since(stamps[n]))
 			stamps[n] = nodes[n].Stamp()
@@ -194,7 +194,7 @@
 	directory := NewDirectory(time.Hour)
 	now := time.Unix(1_800_000_000, 0)
 	send := func(sequence uint64, coldMS int64) (news bool) {
-		news = table.Hear(now, Record{ID: "r", Sequence: sequence, ColdMS: coldMS})
+		news = table.ApplyHeartbeat(now, Record{ID: "r", Sequence: sequence, ColdMS: coldMS})
 		stamp := directory.Stamp()
 		directory.Apply(now, "a", table.Since(0))
 		is.Equal(directory.Stamp() != stamp, news)
--- a/src/wire/admission.go
+++ b/src/wire/admission.go
@@ -13,12 +13,12 @@
 
 // Admission results.
 const (
-	// Granted means that the units may be used.
-	Granted Admission = "granted"
-	// Spent means that the account's quota is exhausted for now.
-	Spent Admission = "spent"
-	// Unsure means that no reachable node can decide.
-	Unsure Admission = ""
+	// AdmissionGranted means that the units may be used.
+	AdmissionGranted Admission = "granted"
+	// QuotaExhausted means that the account's quota is exhausted for now.
+	QuotaExhausted Admission = "spent"
+	// AdmissionUncertain means that no reachable node can decide.
+	AdmissionUncertain Admission = ""
 )
 
 // AdmitReply is the reply to an AdmitRequest.
--- a/src/wire/control.go
+++ b/src/wire/control.go
@@ -65,14 +65,14 @@
 
 // Claim states.
 const (
-	// ClaimYours means that only the requester may execute the call.
-	ClaimYours ClaimState = "yours"
+	// ClaimAcquired means that only the requester may execute the call.
+	ClaimAcquired ClaimState = "yours"
 	// ClaimRunning means that another attempt is executing the call.
 	ClaimRunning ClaimState = "running"
 	// ClaimDone means that the call has completed.
 	ClaimDone ClaimState = "done"
-	// ClaimLost means that it cannot be determined whether the call was executed.
-	ClaimLost ClaimState = "unknown"
+	// ClaimUnknown means that it cannot be determined whether the call was executed.
+	ClaimUnknown ClaimState = "unknown"
 )
 
 // ClaimReply is the reply to a ClaimRequest.
@@ -119,11 +119,11 @@
 	Address  string          `json:"address"`
 	Revision config.Revision `json:"revision"`
 	Leaving  bool            `json:"leaving,omitempty"`
-	Control  ControlCost     `json:"control"`
+	Control  ProcessUsage    `json:"control"`
 }
 
-// ControlCost is the control traffic, CPU time and memory use of a process since it started.
-type ControlCost struct {
+// ProcessUsage is the control traffic, CPU time and memory use of a process since it started.
+type ProcessUsage struct {
 	BytesIn  int64           `json:"bytesIn"`
 	BytesOut int64           `json:"bytesOut"`
 	Messages int64           `json:"messages"`
@@ -155,13 +155,13 @@
 	Reason  string       `json:"reason,omitempty"`
 }
 
-// HeldRequest asks how much of the log a control node is known to have stored.
-type HeldRequest struct {
+// LogIndexRequest asks how much of the log a control node is known to have stored.
+type LogIndexRequest struct {
 	ID raft.ID `json:"id"`
 }
 
-// HeldReply is the reply to a HeldRequest. Known is false if the responding node cannot tell.
-type HeldReply struct {
+// LogIndexReply is the reply to a LogIndexRequest. Known is false if the responding node cannot tell.
+type LogIndexReply struct {
 	Known  bool   `json:"known"`
 	Term   uint64 `json:"term"`
 	Index  uint64 `json:"index"`
@@ -176,7 +176,7 @@
 	SeenAt time.Time `json:"seenAt"`
 }
 
-// SeenReport lists the processes a control node receives heartbeats from. It is sent to the leader.
-type SeenReport struct {
+// LiveNodesReport lists the processes a control node receives heartbeats from. It is sent to the leader.
+type LiveNodesReport struct {
 	Nodes []string `json:"nodes"`
 }
--- a/src/wire/dispatch.go
+++ b/src/wire/dispatch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PlaceRequest asks for a slot on one of a service's replicas.
-type PlaceRequest struct {
+// SlotRequest asks for a slot on one of a service's replicas.
+type SlotRequest struct {
 	Service  string `json:"s"`
 	Account  string `json:"a,omitempty"`
 	Priority int    `json:"p,omitempty"`
@@ -14,10 +14,10 @@
 }
 
 // TimeLeft returns the time within which the request should be answered.
-func (r *PlaceRequest) TimeLeft() time.Duration { return time.Duration(r.WithinMS) * time.Millisecond }
+func (r *SlotRequest) TimeLeft() time.Duration { return time.Duration(r.WithinMS) * time.Millisecond }
 
-// PlaceReply is the reply to a PlaceRequest. Known is false if no reachable node assigns slots.
-type PlaceReply struct {
+// SlotReply is the reply to a SlotRequest. Known is false if no reachable node assigns slots.
+type SlotReply struct {
 	Known bool `json:"k,omitempty"`
 	// Replica is "" if no slot becomes free in time. The request should then be repeated after RetryMS
 	// milliseconds.
@@ -26,8 +26,8 @@
 	RetryMS int64  `json:"w,omitempty"`
 }
 
-// PlaceRelease reports how a request that had a slot ended.
-type PlaceRelease struct {
+// SlotRelease reports how a request that had a slot ended.
+type SlotRelease struct {
 	Service string `json:"s"`
 	Ticket  uint64 `json:"t"`
 	// Outcome is an outcome defined by package dispatch.
--- a/src/wire/document.go
+++ b/src/wire/document.go
@@ -102,20 +102,20 @@
 	Zone string `json:"zone,omitempty"`
 }
 
-// NoteRequest reports that a replica is leaving.
-type NoteRequest struct {
+// DepartureRequest reports that a replica is leaving.
+type DepartureRequest struct {
 	Record registry.Record `json:"record"`
 }
 
 // Usage is the demand for models since the last report.
 type Usage struct {
 	// Node is the gateway, or the control node that aggregates the reports of its gateways.
-	Node   string  `json:"node"`
-	Models []Asked `json:"models"`
+	Node   string       `json:"node"`
+	Models []ModelUsage `json:"models"`
 }
 
-// Asked is the demand for one model or adapter.
-type Asked struct {
+// ModelUsage is the demand for one model or adapter.
+type ModelUsage struct {
 	Service string `json:"service"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
--- a/src/wire/load.go
+++ b/src/wire/load.go
@@ -18,8 +18,8 @@
 	UnreadMS int `json:"u,omitempty"`
 }
 
-// SentReport lists prompts that were sent to replicas.
-type SentReport struct {
+// SentPromptsReport lists prompts that were sent to replicas.
+type SentPromptsReport struct {
 	Sent []Sent `json:"s"`
 }
 
--- a/src/wire/process.go
+++ b/src/wire/process.go
@@ -21,7 +21,7 @@
 	Ready       bool               `json:"ready"`
 	Leaving     bool               `json:"leaving,omitempty"`
 	Revision    config.Revision    `json:"revision"`
-	Control     ControlCost        `json:"control"`
+	Control     ProcessUsage       `json:"control"`
 	ControlNode *ControlNodeStatus `json:"controlNode,omitempty"`
 	Planner     *PlannerStatus     `json:"planner,omitempty"`
 	Entry       *GatewayStatus     `json:"entry,omitempty"`
@@ -83,8 +83,8 @@
 	Events []event.Event `json:"events"`
 }
 
-// CutRequest sets the address prefixes a process cannot reach, to simulate a network partition.
-type CutRequest struct {
+// PartitionRequest sets the address prefixes a process cannot reach, to simulate a network partition.
+type PartitionRequest struct {
 	Prefixes []string `json:"prefixes"`
 }
 
--- a/src/wire/route.go
+++ b/src/wire/route.go
@@ -59,10 +59,10 @@
 // DemandReport lists the demand for each model since the last report.
 type DemandReport struct {
 	Node string `json:"node"`
-	// Taken is the Seq of the last routes the node has applied.
-	Taken  uint64        `json:"taken"`
-	Epoch  uint64        `json:"epoch"`
-	Models []ModelDemand `json:"models,omitempty"`
+	// AppliedSeq is the Seq of the last routes the node has applied.
+	AppliedSeq uint64        `json:"taken"`
+	Epoch      uint64        `json:"epoch"`
+	Models     []ModelDemand `json:"models,omitempty"`
 }
 
 // ModelDemand is the demand for one model during a report interval.
