--- a/src/admission/admission_test.go
+++ b/src/admission/admission_test.go
@@ -207,7 +207,7 @@
 	n.gate.Return("a", 1, verdict.Until)
 	n.nodeReachable = false
 	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionGranted)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUnknown)
 }
 
 func TestAGateBacksOffAfterAnUnansweredCall(t *testing.T) {
@@ -215,10 +215,10 @@
 	n := newTestCluster()
 	n.run(time.Second)
 	n.nodeReachable = false
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUnknown)
 	n.nodeReachable = true
 	n.gate.unreachableUntil = n.now.Add(unreachableBackoff)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUnknown)
 	n.now = n.now.Add(unreachableBackoff)
 	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionGranted)
 }
@@ -246,7 +246,7 @@
 	}
 	is.True(granted >= 60) // most of 80
 	n.now = n.now.Add(time.Second)
-	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUncertain)
+	is.Equal(n.gate.Admit(context.Background(), &n.account, 1).Admission, wire.AdmissionUnknown)
 }
 
 // The first requests wait for as long as an election takes. Later ones are refused at once, with a
@@ -265,12 +265,12 @@
 	n.leaderReachable, n.onSleep = false, nil
 	began = n.now
 	first := n.gate.Admit(context.Background(), &n.account, 1)
-	is.Equal(first.Admission, wire.AdmissionUncertain)
+	is.Equal(first.Admission, wire.AdmissionUnknown)
 	is.True(n.now.Sub(began) < electionWait+unreachableBackoff)
 	n.now = n.now.Add(10 * time.Second)
 	began = n.now
 	later := n.gate.Admit(context.Background(), &n.account, 1)
-	is.Equal(later.Admission, wire.AdmissionUncertain)
+	is.Equal(later.Admission, wire.AdmissionUnknown)
 	is.Equal(n.now, began)
 	is.True(later.RetryAfter > first.RetryAfter)
 }
--- a/src/admission/gate.go
+++ b/src/admission/gate.go
@@ -228,7 +228,7 @@
 func (g *Gate) Admit(ctx context.Context, account *catalog.Account, units float64) Verdict {
 	for {
 		verdict := g.admitOnce(ctx, account, units)
-		if verdict.Admission != wire.AdmissionUncertain || !g.waitForElection(ctx, account.Name) {
+		if verdict.Admission != wire.AdmissionUnknown || !g.waitForElection(ctx, account.Name) {
 			return verdict
 		}
 	}
@@ -259,7 +259,7 @@
 		return Verdict{Admission: wire.QuotaExhausted, RetryAfter: addJitter(empty)}
 	}
 	reply, err := g.ask(ctx, wire.AdmitRequest{Account: account.Name, Units: units})
-	if err != nil || reply.Admission == wire.AdmissionUncertain {
+	if err != nil || reply.Admission == wire.AdmissionUnknown {
 		return Verdict{RetryAfter: g.noteUnsure(now, account.Name)}
 	}
 	g.clearUnsure(account.Name)
--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -196,7 +196,7 @@
 	defer cancel()
 	reply, err := g.options.Leader.Reserve(ctx, wire.ReserveRequest(request))
 	if err != nil {
-		return wire.AdmissionUncertain, 0
+		return wire.AdmissionUnknown, 0
 	}
 	return reply.Admission, reply.WaitMS
 }
--- a/src/capacity/stubs.go
+++ b/src/capacity/stubs.go
@@ -192,7 +192,7 @@
 	fast.Serve(ln)
 	m.stub.announceHosts(ctx, 1, ln.Addr().String())
 	time.Sleep(settleTime)
-	streams, err := engine.NewStreams(nil, callTimeout)
+	streams, err := engine.NewStreamClient(nil, callTimeout)
 	if err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 	return nil
 }
 
-func sendRequests(ctx context.Context, streams *engine.Streams, address string, tokens int) error {
+func sendRequests(ctx context.Context, streams *engine.StreamClient, address string, tokens int) error {
 	failed := make(chan error, clients)
 	for c := 0; c < clients; c++ {
 		go func() {
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func sendRequest(ctx context.Context, streams *engine.Streams, address string, tokens int) error {
+func sendRequest(ctx context.Context, streams *engine.StreamClient, address string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"load-0","prompt":"p","stream":true,"max_tokens":%d}`, tokens)
 	stream, err := streams.Open(ctx, address, engine.Request{Path: engine.PathCompletions, Body: []byte(body), ID: "capacity"})
 	if err != nil {
--- a/src/cli/apply.go
+++ b/src/cli/apply.go
@@ -106,7 +106,7 @@
 		wanted = append(wanted, source.Object())
 	}
 	put, remove := set.Difference(wanted, prune)
-	if findings := config.Check(set.With(put, remove), locations); len(findings) > 0 {
+	if findings := config.Check(set.WithChanges(put, remove), locations); len(findings) > 0 {
 		return nil, config.Change{}, refusedError(findings.Err())
 	}
 	return set, config.Change{Base: set.Revision(), Put: put, Delete: remove}, nil
--- a/src/cli/main.go
+++ b/src/cli/main.go
@@ -44,7 +44,7 @@
 
 // commandContext returns a context that ends at a signal and a client.
 func commandContext() (context.Context, context.CancelFunc, *client) {
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	return ctx, cancel, newClient(options.ControlNodes)
 }
 
--- a/src/config/object.go
+++ b/src/config/object.go
@@ -133,23 +133,23 @@
 type Call struct {
 	Method string `json:"method" yaml:"method"`
 	Path   string `json:"path" yaml:"path"`
-	// Once marks calls that must not be repeated.
-	Once bool `json:"once" yaml:"once"`
+	// AtMostOnce marks calls that must not be repeated.
+	AtMostOnce bool `json:"once" yaml:"once"`
 }
 
 // Policy holds the settings of the whole installation. Its name is "default".
 type Policy struct {
-	Weigh Weigh `json:"weigh" yaml:"weigh"`
-	Store Store `json:"store" yaml:"store"`
+	Objective Objective `json:"weigh" yaml:"weigh"`
+	Store     Store     `json:"store" yaml:"store"`
 }
 
-// Weigh is the goal that placement prefers when goals conflict.
-type Weigh string
+// Objective is the goal that placement prefers when goals conflict.
+type Objective string
 
 // The goals: requests that meet their target, or few loads and unloads of models.
 const (
-	WeighAttainment Weigh = "attainment"
-	WeighMoves      Weigh = "moves"
+	ObjectiveAttainment Objective = "attainment"
+	ObjectiveMoves      Objective = "moves"
 )
 
 // Store holds the limits of the weight store.
--- a/src/config/update.go
+++ b/src/config/update.go
@@ -81,21 +81,21 @@
 	}
 	var remove []Key
 	for _, object := range s.Objects() {
-		if object.Key.Kind.Written() && !keep[object.Key] {
+		if object.Key.Kind.WrittenByOperators() && !keep[object.Key] {
 			remove = append(remove, object.Key)
 		}
 	}
 	return put, remove
 }
 
-// Written reports whether objects of this kind are written by operators.
-func (k Kind) Written() bool {
+// WrittenByOperators reports whether objects of this kind are written by operators.
+func (k Kind) WrittenByOperators() bool {
 	return k != KindAssignment && k != KindAuthority
 }
 
-// With returns the set with the given changes at the next revision, for validation
+// WithChanges returns the set with the given changes at the next revision, for validation
 // and previews.
-func (s *Set) With(put []Object, remove []Key) *Set {
+func (s *Set) WithChanges(put []Object, remove []Key) *Set {
 	next := Revision{Term: s.revision.Term, Index: s.revision.Index + 1}
 	changed, _ := s.Apply(Update{From: s.revision, To: next, Put: put, Delete: remove})
 	return changed
--- a/src/control/apply.go
+++ b/src/control/apply.go
@@ -93,7 +93,7 @@
 		s.logChange(change, *reply)
 		return nil, *reply
 	}
-	next := set.With(change.Put, change.Delete)
+	next := set.WithChanges(change.Put, change.Delete)
 	findings := checkWritable(change)
 	if len(findings) == 0 {
 		findings = config.Check(next, nil)
@@ -113,7 +113,7 @@
 func checkWritable(change config.Change) config.Findings {
 	var findings config.Findings
 	for _, key := range change.Keys() {
-		if !key.Kind.Written() {
+		if !key.Kind.WrittenByOperators() {
 			findings = append(findings, config.Finding{File: key.String(), Message: "objects of this kind are kept by the system"})
 		}
 	}
--- a/src/control/cluster.go
+++ b/src/control/cluster.go
@@ -186,7 +186,7 @@
 		return wire.Empty{}, nil
 	}
 	// A message for an earlier identity at this address only reveals its sender.
-	c.Meet(nameOf(m.From))
+	c.AddKnownAddresses(nameOf(m.From))
 	return wire.Empty{}, nil
 }
 
@@ -315,7 +315,7 @@
 	}
 }
 
-// HandOver transfers leadership to another node before a planned stop.
-func (c *Cluster) HandOver() {
+// TransferLeadership transfers leadership to another node before a planned stop.
+func (c *Cluster) TransferLeadership() {
 	c.node.Do(func(now time.Time) { c.node.replica.core.Transfer(now) })
 }
--- a/src/control/cluster_test.go
+++ b/src/control/cluster_test.go
@@ -97,7 +97,7 @@
 		_ = n.node.Run(ctx)
 		close(n.ended)
 	}()
-	go n.cluster.Tend(ctx)
+	go n.cluster.MaintainMembership(ctx)
 	tc.nodes[address] = n
 	return n
 }
@@ -336,7 +336,7 @@
 
 // leadingCore returns a core that leads a membership of up to five voters, including b#0 and c#0.
 func leadingCore(now time.Time, members raft.Members) *raft.Core {
-	start := raft.Start{HardState: raft.HardState{}, Snapshot: raft.Snapshot{Members: members}}
+	start := raft.InitialState{HardState: raft.HardState{}, Snapshot: raft.Snapshot{Members: members}}
 	core := raft.New("a#0", start, raft.DefaultOptions(), rand.New(rand.NewPCG(1, 1)), now.Add(-2*time.Second))
 	core.Tick(now.Add(-time.Millisecond))
 	for _, kind := range []raft.MessageKind{raft.MsgPreVoteReply, raft.MsgVoteReply} {
--- a/src/control/delay.go
+++ b/src/control/delay.go
@@ -20,15 +20,15 @@
 type Delays struct {
 	// Wait is how long a message or call was queued before the loop handled it.
 	Wait time.Duration
-	// Step is how long one iteration of the loop took.
-	Step time.Duration
+	// Iteration is how long one iteration of the loop took.
+	Iteration time.Duration
 	// Write is how long a write took, or has been in progress.
 	Write time.Duration
 }
 
 // maximum returns the longer delay of each kind.
 func (d Delays) maximum(other Delays) Delays {
-	return Delays{Wait: max(d.Wait, other.Wait), Step: max(d.Step, other.Step), Write: max(d.Write, other.Write)}
+	return Delays{Wait: max(d.Wait, other.Wait), Iteration: max(d.Iteration, other.Iteration), Write: max(d.Write, other.Write)}
 }
 
 // delayMeter keeps the longest delays of the current and the previous window. It is safe for
--- a/src/control/history_test.go
+++ b/src/control/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 // TestRandomHistories injects random combinations of all kinds of faults, with clocks that run at
 // different rates, and then checks the invariants: one leader per term, no accepted change lost or
--- a/src/control/join.go
+++ b/src/control/join.go
@@ -106,8 +106,8 @@
 	return list
 }
 
-// Meet records the addresses of control nodes.
-func (c *Cluster) Meet(addresses ...string) {
+// AddKnownAddresses records the addresses of control nodes.
+func (c *Cluster) AddKnownAddresses(addresses ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range addresses {
@@ -117,6 +117,6 @@
 
 func (c *Cluster) addKnownMembers(members raft.Members) {
 	for _, id := range members.All() {
-		c.Meet(nameOf(id))
+		c.AddKnownAddresses(nameOf(id))
 	}
 }
--- a/src/control/join_test.go
+++ b/src/control/join_test.go
@@ -66,7 +66,7 @@
 		if !q.Member {
 			return false
 		}
-		led = led || q.Leading && q.Voters == 3 && q.Heard == q.Voters
+		led = led || q.Leading && q.Voters == 3 && q.InContact == q.Voters
 	}
 	return led
 }
--- a/src/control/main.go
+++ b/src/control/main.go
@@ -28,7 +28,7 @@
 			settings, err := option.LoadControlNode(flags.Settings)
 			return func() error { return run(settings, flags.Found) }, err
 		},
-		Words: folderCommand,
+		Command: folderCommand,
 	})
 }
 
@@ -79,7 +79,7 @@
 // run runs a control node until it is stopped or fails. found is set if an empty data folder may
 // found a new installation.
 func run(settings option.ControlNode, found bool) error {
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	defer cancel()
 	var service *Service
 	proc, err := process.New("control", settings.Common, func(status *wire.Status) {
@@ -120,7 +120,7 @@
 	return serve(ctx, proc, node, service)
 }
 
-func checkDisk(ctx context.Context, service *Service, settings option.ControlNode, folder *store.Folder, start raft.Start, found bool) error {
+func checkDisk(ctx context.Context, service *Service, settings option.ControlNode, folder *store.Folder, start raft.InitialState, found bool) error {
 	ctx, cancel := context.WithTimeout(ctx, settings.DiskCheck.Std())
 	defer cancel()
 	return service.CheckDisk(ctx, folder.Identity().ID(), start.LastIndex(), found)
--- a/src/control/membership.go
+++ b/src/control/membership.go
@@ -8,9 +8,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// Tend maintains the membership until the context ends. A node that is not a member asks to become
+// MaintainMembership maintains the membership until the context ends. A node that is not a member asks to become
 // a learner, and the leader lets caught-up learners replace failed voters.
-func (c *Cluster) Tend(ctx context.Context) {
+func (c *Cluster) MaintainMembership(ctx context.Context) {
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
@@ -85,7 +85,7 @@
 func caughtUp(core *raft.Core, now time.Time) []raft.ID {
 	var ready []raft.ID
 	for _, id := range core.Members().Learners {
-		if core.Match(id) >= core.Commit() && now.Sub(core.Contact(id)) < contactTimeout {
+		if core.Match(id) >= core.Commit() && now.Sub(core.LastContact(id)) < contactTimeout {
 			ready = append(ready, id)
 		}
 	}
--- a/src/control/node.go
+++ b/src/control/node.go
@@ -111,7 +111,7 @@
 			n.ring.Add(event.Event{Kind: event.StorageFailed, Reason: err.Error()})
 			return err
 		}
-		n.recordDelays(Delays{Wait: wait, Step: n.now().Sub(began)})
+		n.recordDelays(Delays{Wait: wait, Iteration: n.now().Sub(began)})
 	}
 }
 
@@ -171,10 +171,10 @@
 // recordDelays records the delays of a loop iteration and logs long ones.
 func (n *Node) recordDelays(d Delays) {
 	n.delays.record(n.now(), d)
-	if d.Wait < slowLoopThreshold && d.Step < slowLoopThreshold {
+	if d.Wait < slowLoopThreshold && d.Iteration < slowLoopThreshold {
 		return
 	}
-	n.ring.Add(event.Event{Kind: event.AgreementDelayed, Reason: "waited " + d.Wait.String() + ", took " + d.Step.String()})
+	n.ring.Add(event.Event{Kind: event.AgreementDelayed, Reason: "waited " + d.Wait.String() + ", took " + d.Iteration.String()})
 }
 
 // Delays returns the longest recent delays of the event loop and the disk.
--- a/src/control/power_test.go
+++ b/src/control/power_test.go
@@ -125,7 +125,7 @@
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}}
 	nodes, disks := map[raft.ID]*Node{}, map[raft.ID]*simDisk{}
 	for i, id := range members.Voters {
-		disk := &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: members}}}
+		disk := &simDisk{start: raft.InitialState{Snapshot: raft.Snapshot{Members: members}}}
 		replica, err := NewReplica(id, disk.start, Disk{Save: disk.save, SaveSnapshot: disk.saveSnapshot}, raft.DefaultOptions(), rand.New(rand.NewPCG(uint64(i), 1)), nil, time.Now())
 		if err != nil {
 			t.Fatal(err)
--- a/src/control/promises_test.go
+++ b/src/control/promises_test.go
@@ -92,7 +92,7 @@
 }
 
 // holds reports whether a disk holds an entry.
-func holds(start raft.Start, index, term uint64) bool {
+func holds(start raft.InitialState, index, term uint64) bool {
 	if index <= start.Snapshot.Index {
 		return true
 	}
--- a/src/control/quorum.go
+++ b/src/control/quorum.go
@@ -10,7 +10,7 @@
 
 // Quorum summarizes the membership as seen by a control node.
 type Quorum struct {
-	// Leading is set while this node leads. Heard is known only then.
+	// Leading is set while this node leads. InContact is known only then.
 	Leading bool
 	// LeaderKnown is set while this node leads or follows a leader.
 	LeaderKnown bool
@@ -18,8 +18,8 @@
 	Member   bool
 	Voters   int
 	Learners int
-	// Heard is the number of voters in contact, including this node.
-	Heard int
+	// InContact is the number of voters in contact, including this node.
+	InContact int
 	// Version is the version of the applied configuration, 0 if there is none.
 	Version uint64
 	Term    uint64
@@ -27,7 +27,7 @@
 
 // String formats the quorum for a log line.
 func (q Quorum) String() string {
-	return fmt.Sprintf("%d of %d voters heard, %d learners", q.Heard, q.Voters, q.Learners)
+	return fmt.Sprintf("%d of %d voters heard, %d learners", q.InContact, q.Voters, q.Learners)
 }
 
 // Quorum returns the membership as of the last loop iteration. It does not wait for the event loop:
@@ -47,7 +47,7 @@
 		Term:        core.Term(),
 	}
 	if q.Leading {
-		q.Heard = len(members.Voters) - len(silentVoters(core, now))
+		q.InContact = len(members.Voters) - len(silentVoters(core, now))
 	}
 	return q
 }
@@ -66,8 +66,8 @@
 // lastContact returns when a member last responded to this leader. A member that has not responded
 // yet counts as heard at the election.
 func lastContact(core *raft.Core, id raft.ID) time.Time {
-	at := core.Contact(id)
-	if since := core.LedSince(); at.Before(since) {
+	at := core.LastContact(id)
+	if since := core.LeaderSince(); at.Before(since) {
 		return since
 	}
 	return at
--- a/src/control/quorum_test.go
+++ b/src/control/quorum_test.go
@@ -22,7 +22,7 @@
 		<-release
 		return nil
 	}
-	start := raft.Start{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}
+	start := raft.InitialState{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}
 	replica, err := NewReplica("a#0", start, Disk{Save: save}, raft.DefaultOptions(), rand.New(rand.NewPCG(1, 1)), nil, time.Now())
 	is.NoErr(err)
 	node := NewNode(replica, func(raft.Message) {}, nil, time.Now)
--- a/src/control/replica.go
+++ b/src/control/replica.go
@@ -61,7 +61,7 @@
 var errOverwritten = errors.New("another leader's entry took the place")
 
 // NewReplica returns a replica that continues from the durable state in start.
-func NewReplica(id raft.ID, start raft.Start, disk Disk, options raft.Options, random *rand.Rand, ring *event.Ring, now time.Time) (*Replica, error) {
+func NewReplica(id raft.ID, start raft.InitialState, disk Disk, options raft.Options, random *rand.Rand, ring *event.Ring, now time.Time) (*Replica, error) {
 	state, err := RestoreState(start.Snapshot.Data)
 	if err != nil {
 		return nil, err
--- a/src/control/sim_test.go
+++ b/src/control/sim_test.go
@@ -21,7 +21,7 @@
 
 // simDisk is an in-memory data folder. Data is durable once save has returned.
 type simDisk struct {
-	start raft.Start
+	start raft.InitialState
 	// beforeSync and afterSync may kill the process before or after a write.
 	beforeSync func() bool
 	afterSync  func() bool
@@ -48,7 +48,7 @@
 	if d.beforeSync != nil && d.beforeSync() {
 		return errDied
 	}
-	d.start = raft.Start{HardState: state, Snapshot: snapshot, Entries: append([]raft.Entry(nil), after...)}
+	d.start = raft.InitialState{HardState: state, Snapshot: snapshot, Entries: append([]raft.Entry(nil), after...)}
 	if d.afterSync != nil && d.afterSync() {
 		return errDied
 	}
@@ -65,7 +65,7 @@
 	// frozenUntil suspends the process until then; messages to it are kept.
 	frozenUntil time.Time
 	// oldDisk is an earlier state of the disk.
-	oldDisk raft.Start
+	oldDisk raft.InitialState
 	// writeDuration returns how long the next write takes; nil means no time. pendingWrite is the
 	// write in progress, which finishes at writeEnds.
 	writeDuration func() time.Duration
@@ -149,7 +149,7 @@
 		members.Voters = append(members.Voters, raft.ID(name+"#0"))
 	}
 	for _, name := range names {
-		s.nodes[name] = &simNode{id: raft.ID(name + "#0"), clockRate: 1, disk: &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: members}}}}
+		s.nodes[name] = &simNode{id: raft.ID(name + "#0"), clockRate: 1, disk: &simDisk{start: raft.InitialState{Snapshot: raft.Snapshot{Members: members}}}}
 		s.boot(name)
 	}
 	return s
--- a/src/control/slow_disk_test.go
+++ b/src/control/slow_disk_test.go
@@ -21,7 +21,7 @@
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}}
 	nodes = map[raft.ID]*Node{}
 	for i, id := range members.Voters {
-		disk := &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: members}}}
+		disk := &simDisk{start: raft.InitialState{Snapshot: raft.Snapshot{Members: members}}}
 		save := func(state *raft.HardState, entries []raft.Entry) error {
 			if state != nil || len(entries) > 0 {
 				time.Sleep(pause(id))
@@ -50,7 +50,7 @@
 // it.
 func clusterOfOne(t *testing.T, sync time.Duration) (c *Cluster, stop func()) {
 	t.Helper()
-	disk := &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}}
+	disk := &simDisk{start: raft.InitialState{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}}
 	save := func(state *raft.HardState, entries []raft.Entry) error {
 		time.Sleep(sync)
 		return disk.save(state, entries)
--- a/src/control/view.go
+++ b/src/control/view.go
@@ -35,14 +35,14 @@
 		members:        r.core.Members(),
 		leader:         r.core.Leader(),
 		term:           r.core.Term(),
-		ledSince:       r.core.LedSince(),
+		ledSince:       r.core.LeaderSince(),
 		extensions:     r.state.extensions,
 		drains:         r.state.drains,
 		quorum:         quorumOf(r, now),
 		readLeaseUntil: r.core.ReadLeaseUntil(),
 
-		confirmedAt: r.core.Confirmed(),
-		writeBegan:  r.core.WriteBegan(),
+		confirmedAt: r.core.ConfirmedAt(),
+		writeBegan:  r.core.WriteStartedAt(),
 	}
 }
 
--- a/src/control/view_test.go
+++ b/src/control/view_test.go
@@ -73,5 +73,5 @@
 	now := until.Add(time.Second)
 	core.Step(now, raft.Message{Kind: raft.MsgAppend, From: "b#0", To: "a#0", Term: core.Term() + 1, Index: 99, LogTerm: 99, Commit: 99})
 	is.Equal(core.Role(), raft.Follower)
-	is.Equal(core.Confirmed(), until)
+	is.Equal(core.ConfirmedAt(), until)
 }
--- a/src/dial/dialer.go
+++ b/src/dial/dialer.go
@@ -27,8 +27,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// IsDial reports whether an error means that no connection was established.
-func IsDial(err error) bool {
+// IsConnectError reports whether an error means that no connection was established.
+func IsConnectError(err error) bool {
 	var dialErr *Error
 	return errors.As(err, &dialErr)
 }
--- a/src/dispatch/dispatcher_test.go
+++ b/src/dispatch/dispatcher_test.go
@@ -16,7 +16,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
--- a/src/emulator/engine.go
+++ b/src/emulator/engine.go
@@ -317,7 +317,7 @@
 			return
 		}
 	}
-	_ = writer.WriteEvent("", "", []byte(engine.EndMark))
+	_ = writer.WriteEvent("", "", []byte(engine.StreamEnd))
 	_ = writer.Close()
 }
 
@@ -380,8 +380,8 @@
 // Running returns the number of requests that are running.
 func (e *Engine) Running() int { return int(e.running.Load()) }
 
-// Ran returns how often the request with an ID ran.
-func (e *Engine) Ran(id string) int {
+// RunCount returns how often the request with an ID ran.
+func (e *Engine) RunCount(id string) int {
 	e.runCounts.mu.Lock()
 	defer e.runCounts.mu.Unlock()
 	return e.runCounts.count[id]
--- a/src/emulator/external.go
+++ b/src/emulator/external.go
@@ -167,8 +167,8 @@
 	p.hosts = hosts
 }
 
-// Plain is an emulated plain service that counts runs by request ID and by idempotency key.
-type Plain struct {
+// PlainService is an emulated plain service that counts runs by request ID and by idempotency key.
+type PlainService struct {
 	host        string
 	incarnation string
 	work        time.Duration
@@ -179,13 +179,13 @@
 	seq         atomic.Uint64
 }
 
-// NewPlain returns a plain service whose calls take the time work.
-func NewPlain(host string, work time.Duration) *Plain {
-	return &Plain{host: host, incarnation: uuid.NewString(), work: work, faultState: newFaultState()}
+// NewPlainService returns a plain service whose calls take the time work.
+func NewPlainService(host string, work time.Duration) *PlainService {
+	return &PlainService{host: host, incarnation: uuid.NewString(), work: work, faultState: newFaultState()}
 }
 
 // Serve starts the service on a listener.
-func (p *Plain) Serve(ln net.Listener) {
+func (p *PlainService) Serve(ln net.Listener) {
 	h := process.NewServer(ln, 8<<20)
 	h.GET(engine.PathReport, p.report)
 	h.GET(PathStats, p.stats)
@@ -194,14 +194,14 @@
 	go func() { _ = h.Run() }()
 }
 
-func (p *Plain) report(_ context.Context, c *app.RequestContext) {
+func (p *PlainService) report(_ context.Context, c *app.RequestContext) {
 	c.JSON(consts.StatusOK, engine.Report{Host: p.host, Incarnation: p.incarnation, Seq: p.seq.Add(1), Leaving: p.faultState.current().Leaving, Running: int(p.running.Load()), Slots: plainSlots})
 }
 
 // plainSlots is the number of calls that a plain service reports as its capacity.
 const plainSlots = 16
 
-func (p *Plain) stats(_ context.Context, c *app.RequestContext) {
+func (p *PlainService) stats(_ context.Context, c *app.RequestContext) {
 	c.JSON(consts.StatusOK, Stats{Host: p.host, Runs: p.runCounts.list(), Keys: p.keys.list(), Late: int(p.faultState.late.Load())})
 }
 
@@ -214,7 +214,7 @@
 	Echo    string `json:"echo"`
 }
 
-func (p *Plain) call(ctx context.Context, c *app.RequestContext) {
+func (p *PlainService) call(ctx context.Context, c *app.RequestContext) {
 	faults := p.faultState.current()
 	p.faultState.recordArrival()
 	if faults.LoseOrders {
--- a/src/emulator/install.go
+++ b/src/emulator/install.go
@@ -83,7 +83,7 @@
 	assign, _ := place.Assign(set)
 	for _, profile := range Profiles {
 		if profile.name == name {
-			i := &Install{profile: profile, folder: folder, set: set.With(assign, nil), warmCopies: map[string][]WarmCopy{}, routing: routing}
+			i := &Install{profile: profile, folder: folder, set: set.WithChanges(assign, nil), warmCopies: map[string][]WarmCopy{}, routing: routing}
 			i.findZones()
 			return i, nil
 		}
@@ -273,7 +273,7 @@
 // longer than the demo.
 func (i *Install) planWarmCopies() {
 	for _, zone := range i.zones {
-		in := place.Input{Spares: true, Weigh: config.WeighMoves, Loads: len(i.set.ModelNames())}
+		in := place.Input{SpareCopies: true, Objective: config.ObjectiveMoves, MaxLoads: len(i.set.ModelNames())}
 		for _, object := range i.set.OfKind(config.KindPool) {
 			if i.set.Service(object.Key.Name) == nil {
 				in.Accelerators = append(in.Accelerators, zoneAccelerators(object, zone)...)
@@ -284,7 +284,7 @@
 				in.Models = append(in.Models, place.Model{Name: model, Footprint: i.set.Footprint(model)})
 			}
 		}
-		in.Loads = len(in.Models)
+		in.MaxLoads = len(in.Models)
 		for _, step := range place.Plan(in).Steps {
 			i.addWarmCopies(in.Accelerators[step.Accelerator], step.Model)
 		}
@@ -300,11 +300,11 @@
 		for replica := 1; replica <= part.Replicas; replica++ {
 			for index := 0; index < pool.Pool.Accelerators; index++ {
 				all = append(all, place.Accelerator{
-					Host:  hostName(pool.Key.Name, zone, replica),
-					Index: index,
-					Free:  pool.Pool.Memory - pool.Pool.Overhead,
-					Open:  true,
-					Slots: emulatorSlots,
+					Host:      hostName(pool.Key.Name, zone, replica),
+					Index:     index,
+					Free:      pool.Pool.Memory - pool.Pool.Overhead,
+					Available: true,
+					Slots:     emulatorSlots,
 				})
 			}
 		}
--- a/src/emulator/load.go
+++ b/src/emulator/load.go
@@ -33,7 +33,7 @@
 type Loader struct {
 	experiment Experiment
 	balancer   *balancer
-	streams    *engine.Streams
+	streams    *engine.StreamClient
 	plain      *service.Client
 	random     *rand.Rand
 	names      []string
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	streams, err := engine.NewStreams(nil, tokenTimeout)
+	streams, err := engine.NewStreamClient(nil, tokenTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -266,7 +266,7 @@
 		if errors.Is(err, io.EOF) {
 			break
 		}
-		if errors.Is(err, engine.ErrGivenUp) {
+		if errors.Is(err, engine.ErrAborted) {
 			return outcome{kind: brokenOff, reason: err.Error()}
 		}
 		if err != nil {
@@ -368,7 +368,7 @@
 	if key != "" {
 		call.Body = []byte(r.prompt)
 		call.ContentType = "text/plain"
-		call.Once = true
+		call.AtMostOnce = true
 	}
 	answer, err := r.loader.plain.Do(ctx, address, call)
 	if o, ok := plainOutcome(answer, err); !ok {
--- a/src/emulator/main.go
+++ b/src/emulator/main.go
@@ -30,7 +30,7 @@
 	if err := settings.Start(); err != nil {
 		return err
 	}
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	defer cancel()
 	<-ctx.Done()
 	return nil
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	defer cancel()
 	result, err := loader.Run(ctx)
 	if err != nil {
--- a/src/emulator/memory.go
+++ b/src/emulator/memory.go
@@ -70,7 +70,7 @@
 	}
 	switch order.Action {
 	case engine.ActionFence:
-		return engine.OrderReply{Outcome: engine.OrderTaken}, nil
+		return engine.OrderReply{Outcome: engine.OrderAccepted}, nil
 	case engine.ActionLoad:
 		return m.load(order)
 	case engine.ActionUnload:
@@ -88,7 +88,7 @@
 		return engine.OrderReply{Outcome: engine.OrderInvalid, Reason: "no such accelerator"}, nil
 	}
 	if m.find(order.Weights, order.Accelerator) != nil {
-		return engine.OrderReply{Outcome: engine.OrderTaken, Reason: "here already"}, nil
+		return engine.OrderReply{Outcome: engine.OrderAccepted, Reason: "here already"}, nil
 	}
 	if m.usedBytes(order.Accelerator)+order.Bytes > m.capacity[order.Accelerator] {
 		m.breaches++
@@ -97,14 +97,14 @@
 	c := &engine.Copy{Weights: order.Weights, Accelerator: order.Accelerator, Bytes: order.Bytes, State: engine.CopyLoading}
 	m.copies = append(m.copies, c)
 	m.loads++
-	return engine.OrderReply{Outcome: engine.OrderTaken}, c
+	return engine.OrderReply{Outcome: engine.OrderAccepted}, c
 }
 
 // unload marks an adapter, or a model with its adapters, as unloading.
 func (m *memory) unload(order engine.Order) (engine.OrderReply, *engine.Copy) {
 	c := m.find(order.Weights, order.Accelerator)
 	if c == nil {
-		return engine.OrderReply{Outcome: engine.OrderTaken, Reason: "not here"}, nil
+		return engine.OrderReply{Outcome: engine.OrderAccepted, Reason: "not here"}, nil
 	}
 	c.State = engine.CopyUnloading
 	m.unloads++
@@ -113,7 +113,7 @@
 			other.State = engine.CopyUnloading
 		}
 	}
-	return engine.OrderReply{Outcome: engine.OrderTaken}, c
+	return engine.OrderReply{Outcome: engine.OrderAccepted}, c
 }
 
 func (m *memory) setReady(c *engine.Copy) {
@@ -182,7 +182,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
-	unchanged := engine.Report{Host: m.host, Incarnation: m.incarnation, Seq: m.seq, Version: m.version, Same: true, Breaches: m.breaches}
+	unchanged := engine.Report{Host: m.host, Incarnation: m.incarnation, Seq: m.seq, Version: m.version, LoadOnly: true, Breaches: m.breaches}
 	if known != "" && known == unchanged.Known() {
 		return unchanged
 	}
--- a/src/emulator/settings.go
+++ b/src/emulator/settings.go
@@ -88,7 +88,7 @@
 	case KindEngine:
 		NewEngine(s.engineOptions()).Serve(ln)
 	case KindService:
-		NewPlain(s.Host, s.Work.Std()).Serve(ln)
+		NewPlainService(s.Host, s.Work.Std()).Serve(ln)
 	case KindStore:
 		NewStore(s.LoadsPerSecond, s.FullSpeed, s.Bandwidth).Serve(ln)
 	case KindPlatform:
--- a/src/emulator/sweep.go
+++ b/src/emulator/sweep.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	e.Duration, e.Bursts, e.Service, e.Unstreamed, e.Tries = length, Bursts{}, ServiceLoad{}, 0, 1
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	defer cancel()
 	if _, err := runAt(ctx, e, c.Warm); err != nil {
 		return err
--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -19,16 +19,16 @@
 	controlTimeout = time.Second
 )
 
-// Control is a client of the engines' control interface: it fetches reports and
+// ControlClient is a client of the engines' control interface: it fetches reports and
 // sends orders. It is safe for concurrent use.
-type Control struct {
+type ControlClient struct {
 	client *client.Client
 	count  func(in, out int)
 }
 
-// NewControl returns a client of the engines' control interface. It calls count
+// NewControlClient returns a client of the engines' control interface. It calls count
 // with the bytes received and sent in each exchange.
-func NewControl(cut *fault.Cut, count func(in, out int)) (*Control, error) {
+func NewControlClient(cut *fault.Cut, count func(in, out int)) (*ControlClient, error) {
 	c, err := client.NewClient(
 		client.WithDialer(cut.NewDialer()),
 		client.WithDialTimeout(dialTimeout),
@@ -38,15 +38,15 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "creating the engine client")
 	}
-	return &Control{client: c, count: count}, nil
+	return &ControlClient{client: c, count: count}, nil
 }
 
 // Report fetches an engine's report. If nothing but the load has changed since
 // the report last, the engine sends only its load and the rest is copied from last.
-func (c *Control) Report(ctx context.Context, address string, last Report) (Report, error) {
+func (c *ControlClient) Report(ctx context.Context, address string, last Report) (Report, error) {
 	var report Report
 	err := c.exchange(ctx, consts.MethodGet, "http://"+address+PathReport, last.Known(), nil, &report)
-	if report.Same {
+	if report.LoadOnly {
 		report.Epoch, report.LastOrder = last.Epoch, last.LastOrder
 		report.Capacity, report.Copies = last.Capacity, last.Copies
 	}
@@ -54,7 +54,7 @@
 }
 
 // Order sends an order. After an error the engine may or may not have accepted it.
-func (c *Control) Order(ctx context.Context, address string, order Order) (OrderReply, error) {
+func (c *ControlClient) Order(ctx context.Context, address string, order Order) (OrderReply, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return OrderReply{}, errors.Wrap(err, "encoding an order")
@@ -64,7 +64,7 @@
 	return reply, err
 }
 
-func (c *Control) exchange(ctx context.Context, method, url, knownReport string, body []byte, reply any) error {
+func (c *ControlClient) exchange(ctx context.Context, method, url, knownReport string, body []byte, reply any) error {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
 	defer protocol.ReleaseResponse(response)
--- a/src/engine/message.go
+++ b/src/engine/message.go
@@ -26,8 +26,8 @@
 	HeaderKnown = "X-Report-Known"
 )
 
-// EndMark is the data of the last event of a complete stream.
-const EndMark = "[DONE]"
+// StreamEnd is the data of the last event of a complete stream.
+const StreamEnd = "[DONE]"
 
 // Action is the kind of an order.
 type Action string
@@ -64,7 +64,7 @@
 
 // The outcomes of orders.
 const (
-	OrderTaken    OrderOutcome = "taken"
+	OrderAccepted OrderOutcome = "taken"
 	OrderStale    OrderOutcome = "stale"
 	OrderNoMemory OrderOutcome = "no-memory"
 	OrderInvalid  OrderOutcome = "invalid"
@@ -112,9 +112,9 @@
 	Seq uint64 `json:"seq"`
 	// Version increases whenever anything other than the load may have changed.
 	Version uint64 `json:"version"`
-	// Same is set if the report holds only the load, since Version is still the
+	// LoadOnly is set if the report holds only the load, since Version is still the
 	// one in the request.
-	Same bool `json:"same,omitempty"`
+	LoadOnly bool `json:"same,omitempty"`
 	// Epoch and LastOrder identify the newest order that the engine accepted. It
 	// rejects older orders as stale.
 	Epoch     uint64         `json:"epoch"`
--- a/src/engine/stream.go
+++ b/src/engine/stream.go
@@ -68,8 +68,8 @@
 	Data []byte
 }
 
-// ErrGivenUp means that the server ended a stream early with an error event.
-var ErrGivenUp = errors.New("the stream was given up")
+// ErrAborted means that the server ended a stream early with an error event.
+var ErrAborted = errors.New("the stream was given up")
 
 // eventError is the type of the event by which a server ends a stream early.
 const eventError = "error"
@@ -77,14 +77,14 @@
 // ErrBroken means that a stream ended without its end mark.
 var ErrBroken = errors.New("the stream broke before its end")
 
-// Streams opens completion streams on engines. It is safe for concurrent use.
-type Streams struct {
+// StreamClient opens completion streams on engines. It is safe for concurrent use.
+type StreamClient struct {
 	client *dial.Client
 }
 
-// NewStreams returns a client for completion streams. tokenWait limits the time
+// NewStreamClient returns a client for completion streams. tokenWait limits the time
 // in which an engine sends nothing.
-func NewStreams(cut *fault.Cut, tokenWait time.Duration) (*Streams, error) {
+func NewStreamClient(cut *fault.Cut, tokenWait time.Duration) (*StreamClient, error) {
 	c, err := dial.New(cut, dial.Options{
 		Dial:   dialTimeout,
 		Read:   tokenWait,
@@ -93,7 +93,7 @@
 		Reuse:  true,
 		Stream: true,
 	})
-	return &Streams{client: c}, err
+	return &StreamClient{client: c}, err
 }
 
 // Stream is the answer to one request. It is used by one goroutine, but Abort may
@@ -111,15 +111,15 @@
 }
 
 // Open sends a request. Its error is always a *Failure.
-func (s *Streams) Open(ctx context.Context, address string, r Request) (*Stream, error) {
+func (s *StreamClient) Open(ctx context.Context, address string, r Request) (*Stream, error) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	fillRequest(request, address, r)
 	if err := s.client.Do(ctx, request, response); err != nil {
 		protocol.ReleaseRequest(request)
 		protocol.ReleaseResponse(response)
-		return nil, &Failure{NotRun: dial.IsDial(err), cause: err}
+		return nil, &Failure{NotRun: dial.IsConnectError(err), cause: err}
 	}
-	stream := &Stream{client: s.client, request: request, response: response, load: LoadOf(response)}
+	stream := &Stream{client: s.client, request: request, response: response, load: ResponseLoad(response)}
 	if status := response.StatusCode(); status != consts.StatusOK {
 		failure := responseFailure(response)
 		stream.Close()
@@ -172,8 +172,8 @@
 	}
 }
 
-// LoadOf returns the load and state in the headers of a response.
-func LoadOf(response *protocol.Response) Load {
+// ResponseLoad returns the load and state in the headers of a response.
+func ResponseLoad(response *protocol.Response) Load {
 	load := ParseLoad(response.Header.Get(HeaderLoad))
 	load.Leaving = response.Header.Get(HeaderLeaving) == "true"
 	return load
@@ -197,7 +197,7 @@
 
 // Next returns the next token, whose data is valid until the next call. It returns
 // io.EOF after the end mark, ErrBroken if the stream ended without one, and
-// ErrGivenUp if the server sent an error event.
+// ErrAborted if the server sent an error event.
 func (s *Stream) Next() (Token, error) {
 	if s.complete {
 		return Token{}, io.EOF
@@ -205,13 +205,13 @@
 	if err := s.reader.Read(s.event); err != nil {
 		return Token{}, errors.Wrap(ErrBroken, err.Error())
 	}
-	if string(s.event.Data) == EndMark {
+	if string(s.event.Data) == StreamEnd {
 		s.complete, s.ended = true, true
 		return Token{}, io.EOF
 	}
 	if s.event.Type == eventError {
 		s.ended = true
-		return Token{}, errors.Wrap(ErrGivenUp, string(s.event.Data))
+		return Token{}, errors.Wrap(ErrAborted, string(s.event.Data))
 	}
 	id, err := strconv.ParseUint(s.event.ID, 10, 64)
 	if err != nil {
--- a/src/event/kind.go
+++ b/src/event/kind.go
@@ -7,79 +7,79 @@
 
 // The kinds of event, grouped by the part that emits them.
 const (
-	ProcessStarted   Kind = 100
-	ProcessReady     Kind = 101
-	ProcessDraining  Kind = 102
-	ProcessStopped   Kind = 103
-	ProcessDegraded  Kind = 104
-	SettingsReloaded Kind = 105
-	LogLinesDropped  Kind = 106
-	ConfigAccepted   Kind = 200
-	ConfigRefused    Kind = 201
-	ConfigConflict   Kind = 202
-	ConfigInForce    Kind = 203
-	ConfigUncertain  Kind = 204
-	ConfigUnusable   Kind = 205
-	ConfigBorrowed   Kind = 206
-	ZoneOrdered      Kind = 210
-	ZoneOrderRefused Kind = 211
-	ZonesDrained     Kind = 212
-	LeaderElected    Kind = 300
-	LeaderLost       Kind = 301
-	VoterChanged     Kind = 302
-	SnapshotSaved    Kind = 303
-	SnapshotReceived Kind = 304
-	StorageFailed    Kind = 305
-	QuorumChanged    Kind = 306
-	JoinAsked        Kind = 307
-	LeaderSeen       Kind = 308
-	AgreementDelayed Kind = 309
-	DiskSlow         Kind = 310
-	DiskRecovered    Kind = 311
-	AuthorityGranted Kind = 400
-	AuthorityRefused Kind = 401
-	AuthorityLost    Kind = 402
-	ClaimGranted     Kind = 410
-	ClaimRefused     Kind = 411
-	OrderSent        Kind = 500
-	OrderInDoubt     Kind = 501
-	OrderSettled     Kind = 502
-	OrderRefused     Kind = 503
-	ModelReady       Kind = 510
-	ModelUnplaced    Kind = 511
-	CopyPlanned      Kind = 512
-	CopyDropped      Kind = 513
-	HostLive         Kind = 600
-	HostSuspect      Kind = 601
-	HostLeaving      Kind = 602
-	HostGone         Kind = 603
-	ReplicaChanged   Kind = 610
-	ReplicasFound    Kind = 611
-	CallRefused      Kind = 612
-	BackoffAsked     Kind = 613
-	BackoffOver      Kind = 614
-	LeavingTold      Kind = 615
-	LimitTold        Kind = 616
-	WordUnknown      Kind = 617
-	ControlFound     Kind = 620
-	ControlLost      Kind = 621
-	NewsNotSent      Kind = 622
-	RequestRouted    Kind = 700
-	RequestRetried   Kind = 701
-	RequestRefused   Kind = 702
-	RequestResumed   Kind = 703
-	RequestFinished  Kind = 704
-	RequestLeft      Kind = 705
-	HostEjected      Kind = 710
-	ReplicaEnded     Kind = 711
-	KeyRefused       Kind = 720
-	QuotaSpent       Kind = 721
-	AdmissionUnsure  Kind = 722
-	TrustLost        Kind = 723
-	TrustRegained    Kind = 724
-	ContentHeld      Kind = 730
-	ContentFreed     Kind = 731
-	FaultSwitched    Kind = 900
+	ProcessStarted     Kind = 100
+	ProcessReady       Kind = 101
+	ProcessDraining    Kind = 102
+	ProcessStopped     Kind = 103
+	ProcessDegraded    Kind = 104
+	SettingsReloaded   Kind = 105
+	LogLinesDropped    Kind = 106
+	ConfigAccepted     Kind = 200
+	ConfigRefused      Kind = 201
+	ConfigConflict     Kind = 202
+	ConfigInForce      Kind = 203
+	ConfigUncertain    Kind = 204
+	ConfigUnusable     Kind = 205
+	ConfigForwarded    Kind = 206
+	ZoneOrdered        Kind = 210
+	ZoneOrderRefused   Kind = 211
+	ZonesDrained       Kind = 212
+	LeaderElected      Kind = 300
+	LeaderLost         Kind = 301
+	VoterChanged       Kind = 302
+	SnapshotSaved      Kind = 303
+	SnapshotReceived   Kind = 304
+	StorageFailed      Kind = 305
+	QuorumChanged      Kind = 306
+	JoinAsked          Kind = 307
+	LeaderSeen         Kind = 308
+	AgreementDelayed   Kind = 309
+	DiskSlow           Kind = 310
+	DiskRecovered      Kind = 311
+	AuthorityGranted   Kind = 400
+	AuthorityRefused   Kind = 401
+	AuthorityLost      Kind = 402
+	ClaimGranted       Kind = 410
+	ClaimRefused       Kind = 411
+	OrderSent          Kind = 500
+	OrderInDoubt       Kind = 501
+	OrderSettled       Kind = 502
+	OrderRefused       Kind = 503
+	ModelReady         Kind = 510
+	ModelUnplaced      Kind = 511
+	CopyPlanned        Kind = 512
+	CopyDropped        Kind = 513
+	HostLive           Kind = 600
+	HostSuspect        Kind = 601
+	HostLeaving        Kind = 602
+	HostGone           Kind = 603
+	ReplicaChanged     Kind = 610
+	ReplicasFound      Kind = 611
+	HeartbeatRefused   Kind = 612
+	BackoffAsked       Kind = 613
+	BackoffOver        Kind = 614
+	ShutdownAnnounced  Kind = 615
+	RateLimitChanged   Kind = 616
+	UnknownName        Kind = 617
+	ControlFound       Kind = 620
+	ControlLost        Kind = 621
+	UpdateNotEncoded   Kind = 622
+	RequestRouted      Kind = 700
+	RequestRetried     Kind = 701
+	RequestRefused     Kind = 702
+	RequestResumed     Kind = 703
+	RequestFinished    Kind = 704
+	ClientDisconnected Kind = 705
+	HostEjected        Kind = 710
+	ReplicaEnded       Kind = 711
+	KeyRefused         Kind = 720
+	QuotaExceeded      Kind = 721
+	AdmissionUncertain Kind = 722
+	TrustLost          Kind = 723
+	TrustRegained      Kind = 724
+	ContentQuarantined Kind = 730
+	ContentReleased    Kind = 731
+	FaultSwitched      Kind = 900
 )
 
 // Entry describes a kind in the catalogue.
@@ -112,7 +112,7 @@
 	{ConfigInForce, "config-in-force", "A process uses a newer configuration; the control node that sent it is given."},
 	{ConfigUncertain, "config-uncertain", "It is unknown whether a configuration change was accepted; the operator must send it again."},
 	{ConfigUnusable, "config-unusable", "A gateway received a newer configuration that it can't decode; it keeps the previous one and fetches the newer one again."},
-	{ConfigBorrowed, "config-borrowed", "A control node forwards a configuration that another control node has applied but it has not."},
+	{ConfigForwarded, "config-borrowed", "A control node forwards a configuration that another control node has applied but it has not."},
 	{ZoneOrdered, "zone-ordered", "An operator's order to drain an availability zone, or to end the drain, was acknowledged: a majority of the control nodes has stored it."},
 	{ZoneOrderRefused, "zone-order-refused", "An order about an availability zone was not acknowledged; the reason is given, and whether it may still take effect."},
 	{ZonesDrained, "zones-drained", "A process uses a newer set of drained availability zones; they are listed."},
@@ -147,30 +147,30 @@
 	{HostGone, "host-gone", "A host is no longer in the platform's list and does not respond."},
 	{ReplicaChanged, "replica-changed", "A replica's record changed, or its heartbeats stopped or resumed."},
 	{ReplicasFound, "replicas-found", "New replicas are known; the total number is given."},
-	{CallRefused, "replica-call-refused", "A malformed heartbeat in a replica's name was refused; the invalid field is given, and the replica's record is unchanged."},
+	{HeartbeatRefused, "replica-call-refused", "A malformed heartbeat in a replica's name was refused; the invalid field is given, and the replica's record is unchanged."},
 	{BackoffAsked, "backoff-asked", "A backend server refused a request and asked this gateway to send nothing for a time; the time is given."},
 	{BackoffOver, "backoff-over", "A backend server that had asked this gateway to send nothing accepts requests again."},
-	{LeavingTold, "leaving-told", "A backend server announced its shutdown in a response; this gateway sends it no new requests."},
-	{LimitTold, "limit-told", "A backend server set, changed or ended its rate limit for all gateways together; the values and their age are given."},
-	{WordUnknown, "word-unknown", "A response or heartbeat of a backend server contains an unknown header or field; each name is logged once."},
+	{ShutdownAnnounced, "leaving-told", "A backend server announced its shutdown in a response; this gateway sends it no new requests."},
+	{RateLimitChanged, "limit-told", "A backend server set, changed or ended its rate limit for all gateways together; the values and their age are given."},
+	{UnknownName, "word-unknown", "A response or heartbeat of a backend server contains an unknown header or field; each name is logged once."},
 	{ControlFound, "control-found", "A control node is reachable and its updates arrive."},
 	{ControlLost, "control-lost", "A control node is unreachable; its last update stays valid for a while."},
-	{NewsNotSent, "news-not-sent", "An update for the followers could not be encoded; they keep their previous state."},
+	{UpdateNotEncoded, "news-not-sent", "An update for the followers could not be encoded; they keep their previous state."},
 	{RequestRouted, "request-routed", "A request was sent to a backend server."},
 	{RequestRetried, "request-retried", "A request that did not run, or may be repeated, is sent to another backend server."},
 	{RequestRefused, "request-refused", "A request was refused; the reason and whether it ran are given."},
 	{RequestResumed, "request-resumed", "A broken stream is resumed after the last token that was forwarded."},
 	{RequestFinished, "request-finished", "A client got its complete response."},
-	{RequestLeft, "request-left", "The client closed its connection before the response was complete."},
+	{ClientDisconnected, "request-left", "The client closed its connection before the response was complete."},
 	{HostEjected, "host-ejected", "A gateway avoids a backend server after consecutive failures."},
 	{ReplicaEnded, "replica-ended", "A replica ended while it ran requests; the observation and the digests of the requests' contents are given."},
 	{KeyRefused, "key-refused", "A request had no API key, or one that belongs to no client account."},
-	{QuotaSpent, "quota-spent", "A request was refused because its client account had used up its limit."},
-	{AdmissionUnsure, "admission-unsure", "A request with an API key was refused because no reachable control node could confirm that its client account was within its limit, or that the configuration was still the newest."},
+	{QuotaExceeded, "quota-spent", "A request was refused because its client account had used up its limit."},
+	{AdmissionUncertain, "admission-unsure", "A request with an API key was refused because no reachable control node could confirm that its client account was within its limit, or that the configuration was still the newest."},
 	{TrustLost, "trust-lost", "A gateway could not confirm for too long that its configuration is the newest; it serves no requests with an API key."},
 	{TrustRegained, "trust-regained", "A gateway has confirmed again that its configuration is the newest."},
-	{ContentHeld, "content-quarantined", "Requests with a certain content are refused, because backend servers ended while they ran such requests; the digest, the backend servers and the time are given."},
-	{ContentFreed, "content-freed", "Requests with a quarantined content are accepted again: a run succeeded, an operator lifted the quarantine, or it expired."},
+	{ContentQuarantined, "content-quarantined", "Requests with a certain content are refused, because backend servers ended while they ran such requests; the digest, the backend servers and the time are given."},
+	{ContentReleased, "content-freed", "Requests with a quarantined content are accepted again: a run succeeded, an operator lifted the quarantine, or it expired."},
 	{FaultSwitched, "fault-switched", "A test switched a simulated fault on or off; this never happens in production."},
 }
 
--- a/src/exchange/admit.go
+++ b/src/exchange/admit.go
@@ -126,8 +126,8 @@
 	}
 	c.retryIn = verdict.RetryAfter
 	if verdict.Admission == wire.QuotaExhausted {
-		c.handler.options.Metrics.QuotaSpent.Inc(1)
-		c.handler.options.Ring.Add(event.Event{Kind: event.QuotaSpent, Request: c.requestInfo.ID, Reason: c.account.Name + " asked for more than is left, comes back in " + verdict.RetryAfter.String()})
+		c.handler.options.Metrics.QuotaExceeded.Inc(1)
+		c.handler.options.Ring.Add(event.Event{Kind: event.QuotaExceeded, Request: c.requestInfo.ID, Reason: c.account.Name + " asked for more than is left, comes back in " + verdict.RetryAfter.String()})
 		c.deny(http.StatusTooManyRequests, "the client account has spent its limit")
 		return false
 	}
@@ -153,7 +153,7 @@
 // refuseUndecided refuses a request that cannot be decided on at present.
 func (c *call) refuseUndecided(reason string) {
 	c.handler.options.Metrics.Undecided.Inc(1)
-	c.handler.options.Ring.Add(event.Event{Kind: event.AdmissionUnsure, Request: c.requestInfo.ID, Reason: reason})
+	c.handler.options.Ring.Add(event.Event{Kind: event.AdmissionUncertain, Request: c.requestInfo.ID, Reason: reason})
 	if c.retryIn == 0 {
 		c.retryIn = retryAfterStart
 	}
--- a/src/exchange/backoff_test.go
+++ b/src/exchange/backoff_test.go
@@ -17,7 +17,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 func taken(i *backoffState, now time.Time) bool {
 	_, taken := i.accepts(now)
@@ -228,7 +228,7 @@
 			kinds = append(kinds, e.Kind)
 		}
 	}
-	is.Equal(kinds, []event.Kind{event.BackoffAsked, event.BackoffOver, event.BackoffAsked, event.LeavingTold})
+	is.Equal(kinds, []event.Kind{event.BackoffAsked, event.BackoffOver, event.BackoffAsked, event.ShutdownAnnounced})
 }
 
 // TestRequestWaitsForShortBackoff: the request is served without a refusal.
--- a/src/exchange/metrics.go
+++ b/src/exchange/metrics.go
@@ -15,10 +15,10 @@
 	Retries  tally.Counter
 	// Continued counts streams that were continued from a copy of their run.
 	Continued tally.Counter
-	// KeysRefused, QuotaSpent and Undecided count requests that were not admitted.
-	KeysRefused tally.Counter
-	QuotaSpent  tally.Counter
-	Undecided   tally.Counter
+	// KeysRefused, QuotaExceeded and Undecided count requests that were not admitted.
+	KeysRefused   tally.Counter
+	QuotaExceeded tally.Counter
+	Undecided     tally.Counter
 	// Crashes counts reports of replica crashes with requests of this gateway in flight. A crash
 	// counts again for each connection that is found broken after it was confirmed.
 	Crashes tally.Counter
@@ -44,10 +44,10 @@
 		Refusals: registry.Count("refusals_total"),
 		Retries:  registry.Count("retries_total"),
 
-		Continued:   registry.Count("streams_continued_total"),
-		KeysRefused: registry.Count("keys_refused_total"),
-		QuotaSpent:  registry.Count("quota_spent_total"),
-		Undecided:   registry.Count("admissions_unsure_total"),
+		Continued:     registry.Count("streams_continued_total"),
+		KeysRefused:   registry.Count("keys_refused_total"),
+		QuotaExceeded: registry.Count("quota_spent_total"),
+		Undecided:     registry.Count("admissions_unsure_total"),
 
 		Crashes:     registry.Count("replicas_ended_total"),
 		Quarantined: registry.Count("quarantine_refusals_total"),
--- a/src/exchange/replicastate.go
+++ b/src/exchange/replicastate.go
@@ -90,7 +90,7 @@
 func (f *Fleet) applyReply(peer *Peer, reply *Reply) {
 	if reply.Leaving && peer.backoffState.noteLeaving() {
 		peer.pool.close()
-		f.ring.Add(event.Event{Kind: event.LeavingTold, Host: peer.ID()})
+		f.ring.Add(event.Event{Kind: event.ShutdownAnnounced, Host: peer.ID()})
 	}
 	if reply.Cold > 0 {
 		peer.markCold(f.bootNow(), reply.Cold)
--- a/src/exchange/response.go
+++ b/src/exchange/response.go
@@ -233,7 +233,7 @@
 func (c *call) kind() event.Kind {
 	switch {
 	case c.status == 0 && c.clientLeft():
-		return event.RequestLeft
+		return event.ClientDisconnected
 	case c.status == 0, c.status >= http.StatusBadRequest:
 		return event.RequestRefused
 	}
--- a/src/exchange/sharedlimit.go
+++ b/src/exchange/sharedlimit.go
@@ -201,7 +201,7 @@
 func (h *Handler) noteLimit(peer *Peer, reply RateLimit, sent sentRequest) {
 	fleet := h.options.Fleet
 	if reply.ParseError != "" && peer.sharedLimit.noteFault(reply.ParseError) {
-		fleet.ring.Add(event.Event{Kind: event.LimitTold, Host: peer.ID(), Reason: "a limit that can't be read, so none: " + reply.ParseError})
+		fleet.ring.Add(event.Event{Kind: event.RateLimitChanged, Host: peer.ID(), Reason: "a limit that can't be read, so none: " + reply.ParseError})
 	}
 	if !reply.Valid && !peer.sharedLimit.active.Load() {
 		return
@@ -257,7 +257,7 @@
 // logLimitChange logs a limit that differs from the one before.
 func (f *Fleet) logLimitChange(peer *Peer, before limitSince, source string) {
 	if now := peer.sharedLimit.currentLimit(); now != before.limit {
-		f.ring.Add(event.Event{Kind: event.LimitTold, Host: peer.ID(), Reason: fmt.Sprintf("%s, before %s for %s; %s", now, before.limit, f.bootNow().Sub(before.since).Round(time.Millisecond), source)})
+		f.ring.Add(event.Event{Kind: event.RateLimitChanged, Host: peer.ID(), Reason: fmt.Sprintf("%s, before %s for %s; %s", now, before.limit, f.bootNow().Sub(before.since).Round(time.Millisecond), source)})
 	}
 }
 
--- a/src/exchange/sharedlimit_sim_test.go
+++ b/src/exchange/sharedlimit_sim_test.go
@@ -14,7 +14,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 // Parameters of limitedWorld.
 const (
--- a/src/fault/cut.go
+++ b/src/fault/cut.go
@@ -27,8 +27,8 @@
 	c.prefixes.Store(&copied)
 }
 
-// Active reports whether an address is cut off.
-func (c *Cut) Active(address string) bool {
+// CutsOff reports whether an address is cut off.
+func (c *Cut) CutsOff(address string) bool {
 	if c == nil {
 		return false
 	}
@@ -47,7 +47,7 @@
 // Dial opens a connection to which the cut applies. While the address is cut off, it fails after
 // the full timeout.
 func (c *Cut) Dial(network, address string, timeout time.Duration) (net.Conn, error) {
-	if c.Active(address) {
+	if c.CutsOff(address) {
 		time.Sleep(timeout)
 		return nil, ErrCut
 	}
@@ -69,7 +69,7 @@
 }
 
 func (c *cutConn) Write(p []byte) (int, error) {
-	if c.cut.Active(c.address) {
+	if c.cut.CutsOff(c.address) {
 		c.lost.Store(true)
 		return len(p), nil
 	}
@@ -81,11 +81,11 @@
 
 func (c *cutConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if !c.cut.Active(c.address) && !c.lost.Load() {
+	if !c.cut.CutsOff(c.address) && !c.lost.Load() {
 		return n, err
 	}
 	c.lost.Store(true)
-	for c.cut.Active(c.address) && !c.closed.Load() {
+	for c.cut.CutsOff(c.address) && !c.closed.Load() {
 		time.Sleep(pollInterval)
 	}
 	return 0, ErrCut
--- a/src/fault/dialer.go
+++ b/src/fault/dialer.go
@@ -25,7 +25,7 @@
 
 // DialConnection opens a connection; see Cut.Dial.
 func (d *dialer) DialConnection(n, address string, timeout time.Duration, tlsConfig *tls.Config) (network.Conn, error) {
-	if d.cut.Active(address) {
+	if d.cut.CutsOff(address) {
 		time.Sleep(timeout)
 		return nil, ErrCut
 	}
@@ -71,7 +71,7 @@
 
 // Flush sends the written bytes; while the address is cut off, they are lost.
 func (c *cutHTTPConn) Flush() error {
-	if c.cut.Active(c.address) {
+	if c.cut.CutsOff(c.address) {
 		c.lost.Store(true)
 		return nil
 	}
@@ -84,12 +84,12 @@
 // stall waits while the address is cut off, at most for the read timeout. It returns ErrCut if
 // bytes were lost.
 func (c *cutHTTPConn) stall() error {
-	if !c.cut.Active(c.address) && !c.lost.Load() {
+	if !c.cut.CutsOff(c.address) && !c.lost.Load() {
 		return nil
 	}
 	c.lost.Store(true)
 	deadline := time.Now().Add(c.timeout)
-	for c.cut.Active(c.address) && (c.timeout == 0 || time.Now().Before(deadline)) {
+	for c.cut.CutsOff(c.address) && (c.timeout == 0 || time.Now().Before(deadline)) {
 		time.Sleep(pollInterval)
 	}
 	return ErrCut
--- a/src/feed/peerdocument.go
+++ b/src/feed/peerdocument.go
@@ -75,5 +75,5 @@
 		return
 	}
 	r.peerDocument = document
-	r.follower.ring.Add(event.Event{Kind: event.ConfigBorrowed, Reason: "version " + strconv.FormatUint(document.Version, 10)})
+	r.follower.ring.Add(event.Event{Kind: event.ConfigForwarded, Reason: "version " + strconv.FormatUint(document.Version, 10)})
 }
--- a/src/fleet/admission.go
+++ b/src/fleet/admission.go
@@ -84,7 +84,7 @@
 
 // askDraw asks the leader for quota that no control node holds.
 func (c *controlNode) askDraw(ctx context.Context, request wire.ReserveRequest) (wire.ReserveReply, error) {
-	if reply := c.granter.Reserve(ctx, request); reply.Admission != wire.AdmissionUncertain {
+	if reply := c.granter.Reserve(ctx, request); reply.Admission != wire.AdmissionUnknown {
 		return reply, nil
 	}
 	var reply wire.ReserveReply
--- a/src/fleet/calls.go
+++ b/src/fleet/calls.go
@@ -27,7 +27,7 @@
 // heartbeatRefused records a malformed heartbeat; it changes nothing of the replica.
 func (c *controlNode) heartbeatRefused(name, reason string) {
 	c.proc.Metrics().Count("replica_calls_refused_total").Inc(1)
-	c.proc.Ring().Add(event.Event{Kind: event.CallRefused, Host: name, Reason: reason})
+	c.proc.Ring().Add(event.Event{Kind: event.HeartbeatRefused, Host: name, Reason: reason})
 }
 
 // put commits a configuration and reports whether that is certain.
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -175,7 +175,7 @@
 }
 
 // build creates the node's parts and registers their methods.
-func (c *controlNode) build(folder *store.Folder, start raft.Start) error {
+func (c *controlNode) build(folder *store.Folder, start raft.InitialState) error {
 	id := folder.Identity().ID()
 	disk := control.Disk{Save: folder.Save, SaveSnapshot: folder.SaveSnapshot}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -308,7 +308,7 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- c.node.Run(ctx) }()
-	go c.cluster.Tend(ctx)
+	go c.cluster.MaintainMembership(ctx)
 	go c.publisher.Run(ctx)
 	go c.placer.Run(ctx)
 	go c.shareLoad(ctx)
@@ -366,14 +366,14 @@
 		return
 	}
 	c.follower.AddSeeds(settings.SeedPeers())
-	c.cluster.Meet(settings.SeedPeers()...)
+	c.cluster.AddKnownAddresses(settings.SeedPeers()...)
 	c.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded})
 }
 
 // stop hands over leadership and ends the node.
 func (c *controlNode) stop(calls *http.Server) {
 	c.proc.SetLeaving()
-	c.cluster.HandOver()
+	c.cluster.TransferLeadership()
 	ctx, cancel := context.WithTimeout(context.Background(), handOverWait)
 	defer cancel()
 	_ = calls.Shutdown(ctx)
--- a/src/fleet/gauges.go
+++ b/src/fleet/gauges.go
@@ -16,7 +16,7 @@
 // setQuorumGauges sets the gauges of a control node's membership.
 func setQuorumGauges(m *metric.Registry, q control.Quorum) {
 	m.Gauge("voters", float64(q.Voters))
-	m.Gauge("voters_heard", float64(q.Heard))
+	m.Gauge("voters_heard", float64(q.InContact))
 	m.Gauge("learners", float64(q.Learners))
 	m.Gauge("leading", boolValue(q.Leading))
 	m.Gauge("leader_known", boolValue(q.LeaderKnown))
@@ -28,7 +28,7 @@
 // setDelayGauges sets the gauges of the longest recent delays in a control node's consensus.
 func setDelayGauges(m *metric.Registry, d control.Delays) {
 	m.Gauge("agreement_wait_seconds", d.Wait.Seconds())
-	m.Gauge("agreement_step_seconds", d.Step.Seconds())
+	m.Gauge("agreement_step_seconds", d.Iteration.Seconds())
 	m.Gauge("disk_write_seconds", d.Write.Seconds())
 }
 
--- a/src/fleet/gauges_test.go
+++ b/src/fleet/gauges_test.go
@@ -24,6 +24,6 @@
 	}
 	is.Equal(len(g.named), maxAccountNames)
 	is.True(g.named["account-99"])
-	page := string(m.Handler()())
+	page := string(m.Encoder()())
 	is.True(!strings.Contains(page, "account-950"))
 }
--- a/src/fleet/permit.go
+++ b/src/fleet/permit.go
@@ -167,7 +167,7 @@
 
 // limitChanged logs a changed limit and has it sent to all gateways.
 func (c *controlNode) limitChanged(change ratelimit.Change) {
-	c.proc.Ring().Add(event.Event{Kind: event.LimitTold, Host: change.Server, Reason: change.String() + "; by what gateways were told"})
+	c.proc.Ring().Add(event.Event{Kind: event.RateLimitChanged, Host: change.Server, Reason: change.String() + "; by what gateways were told"})
 	c.permits.changed.Raise()
 }
 
@@ -224,7 +224,7 @@
 func (c *controlNode) tellLimits(limits wire.Limits) {
 	n, err := rpc.NewNotification(wire.MethodLimits, limits)
 	if err != nil {
-		c.proc.Ring().Add(event.Event{Kind: event.NewsNotSent, Reason: err.Error()})
+		c.proc.Ring().Add(event.Event{Kind: event.UpdateNotEncoded, Reason: err.Error()})
 		return
 	}
 	c.relay.Broadcast(n)
--- a/src/fleet/quarantine.go
+++ b/src/fleet/quarantine.go
@@ -37,11 +37,11 @@
 	return quarantine.NewTable(func(change quarantine.Change) {
 		switch {
 		case change.Held:
-			ring.Add(event.Event{Kind: event.ContentHeld, Reason: fmt.Sprintf("content %s for %s; ended under it: %s", change.Digest, change.For, strings.Join(change.Failures, " "))})
+			ring.Add(event.Event{Kind: event.ContentQuarantined, Reason: fmt.Sprintf("content %s for %s; ended under it: %s", change.Digest, change.For, strings.Join(change.Failures, " "))})
 		case len(change.Failures) > 0:
-			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: the quarantine expired; ended under it: %s", change.Digest, strings.Join(change.Failures, " "))})
+			ring.Add(event.Event{Kind: event.ContentReleased, Reason: fmt.Sprintf("content %s: the quarantine expired; ended under it: %s", change.Digest, strings.Join(change.Failures, " "))})
 		default:
-			ring.Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: a run succeeded, or an operator lifted the quarantine", change.Digest)})
+			ring.Add(event.Event{Kind: event.ContentReleased, Reason: fmt.Sprintf("content %s: a run succeeded, or an operator lifted the quarantine", change.Digest)})
 		}
 	})
 }
@@ -111,7 +111,7 @@
 		}
 		if c.quarantine.Clear(now, entry.Digest) {
 			reply.Lifted = append(reply.Lifted, entry.Digest)
-			c.proc.Ring().Add(event.Event{Kind: event.ContentFreed, Reason: fmt.Sprintf("content %s: lifted by %s", entry.Digest, request.By)})
+			c.proc.Ring().Add(event.Event{Kind: event.ContentReleased, Reason: fmt.Sprintf("content %s: lifted by %s", entry.Digest, request.By)})
 		}
 	}
 	return reply, nil
--- a/src/fleet/share.go
+++ b/src/fleet/share.go
@@ -106,7 +106,7 @@
 		}
 		totals, err := rpc.NewNotification(wire.MethodBacklogs, c.backlog.Totals(clock.Now()))
 		if err != nil {
-			c.proc.Ring().Add(event.Event{Kind: event.NewsNotSent, Reason: err.Error()})
+			c.proc.Ring().Add(event.Event{Kind: event.UpdateNotEncoded, Reason: err.Error()})
 		} else {
 			c.relay.Broadcast(totals)
 		}
--- a/src/fleet/unknown.go
+++ b/src/fleet/unknown.go
@@ -30,7 +30,7 @@
 		label, first := u.label(name)
 		u.proc.Metrics().CountOf("unknown_words_total", "name", label).Inc(1)
 		if first {
-			u.proc.Ring().Add(event.Event{Kind: event.WordUnknown, Host: server, Reason: name})
+			u.proc.Ring().Add(event.Event{Kind: event.UnknownName, Host: server, Reason: name})
 		}
 	}
 }
--- a/src/gateway/admit.go
+++ b/src/gateway/admit.go
@@ -28,7 +28,7 @@
 			return nil, refusal
 		}
 	}
-	if verdict == route.Missing {
+	if verdict == route.Unreachable {
 		return nil, s.refuseNoCopy(r)
 	}
 	if !r.deadline.IsZero() && s.now().After(r.deadline) {
@@ -64,11 +64,11 @@
 const statusClientClosedRequest = 499
 
 func (s *Server) refuseNoCopy(r *request) *Refusal {
-	name := r.want.Model
-	if r.want.Pool != "" {
-		name = r.want.Pool
+	name := r.requirements.Model
+	if r.requirements.Pool != "" {
+		name = r.requirements.Pool
 	} else {
-		s.routes.Unserved(r.want.Model)
+		s.routes.Unserved(r.requirements.Model)
 	}
 	message := "no ready copy of " + name + " is in reach of this availability zone"
 	if r.retries > 0 {
@@ -78,10 +78,10 @@
 }
 
 func (r *request) queueName() string {
-	if r.want.Pool != "" {
-		return "service/" + r.want.Pool
+	if r.requirements.Pool != "" {
+		return "service/" + r.requirements.Pool
 	}
-	return r.want.Model
+	return r.requirements.Model
 }
 
 // waitInQueue queues a request until a host has a free slot.
@@ -113,8 +113,8 @@
 
 // ticket is the part of limit.Ticket that waitForTurn uses.
 type ticket interface {
-	Called() <-chan struct{}
-	Lost() <-chan struct{}
+	Ready() <-chan struct{}
+	Evicted() <-chan struct{}
 }
 
 // queueWait returns how long a request may be queued. The settings limit it, and
@@ -140,9 +140,9 @@
 	timer := time.NewTimer(min(remaining, queuePollInterval))
 	defer timer.Stop()
 	select {
-	case <-t.Called():
+	case <-t.Ready():
 	case <-timer.C:
-	case <-t.Lost():
+	case <-t.Evicted():
 		return verdictOvertaken
 	case <-ctx.Done():
 		return verdictClientGone
@@ -154,5 +154,5 @@
 // ahead and the duration of recent requests.
 func (s *Server) expectedWait(r *request) time.Duration {
 	waiting := s.queues.Waiting(r.queueName())
-	return s.routes.Table().Drain(r.want, waiting)
+	return s.routes.Table().EstimateWait(r.requirements, waiting)
 }
--- a/src/gateway/answer.go
+++ b/src/gateway/answer.go
@@ -54,7 +54,7 @@
 	if a.writer == nil {
 		a.writer = sse.NewWriter(a.c)
 	}
-	if err := a.writer.WriteEvent("", "", []byte(engine.EndMark)); err != nil {
+	if err := a.writer.WriteEvent("", "", []byte(engine.StreamEnd)); err != nil {
 		return err
 	}
 	return a.writer.Close()
--- a/src/gateway/claim.go
+++ b/src/gateway/claim.go
@@ -77,7 +77,7 @@
 }
 
 func (s *Server) claimExpiry(r *request) config.Duration {
-	if definition := s.follower.Set().Service(r.want.Pool); definition != nil {
+	if definition := s.follower.Set().Service(r.requirements.Pool); definition != nil {
 		return definition.ClaimExpiry
 	}
 	return 0
--- a/src/gateway/completion.go
+++ b/src/gateway/completion.go
@@ -27,7 +27,7 @@
 		return
 	}
 	r.path = string(c.Path())
-	span := s.tracer.Start(trace.Extract(ctx, r.trace), "client request", r.id, r.want.Model, "")
+	span := s.tracer.Start(trace.Extract(ctx, r.trace), "client request", r.id, r.requirements.Model, "")
 	defer span.End(nil)
 	claim, refusal := s.claimKey(ctx, r)
 	if refusal != nil {
@@ -96,13 +96,13 @@
 func (x *exchange) attempt(ctx context.Context, host *route.Host) error {
 	s, r := x.server, x.r
 	start := s.now()
-	span := s.tracer.Start(ctx, "backend attempt", r.id, r.want.Model, host.Name())
+	span := s.tracer.Start(ctx, "backend attempt", r.id, r.requirements.Model, host.Name())
 	host.Begin()
 	r.tried.Add(host)
-	s.ring.Add(event.Event{Kind: event.RequestRouted, Request: r.id, Model: r.want.Model, Host: host.Name(), Zone: host.Zone()})
+	s.ring.Add(event.Event{Kind: event.RequestRouted, Request: r.id, Model: r.requirements.Model, Host: host.Name(), Zone: host.Zone()})
 	err := x.relay(ctx, host, span.Traceparent())
 	if err != nil {
-		host.Fail()
+		host.EndUnanswered()
 	} else {
 		host.End(s.now().Sub(start), x.attainedByHost(start))
 	}
@@ -114,7 +114,7 @@
 // applyLoad records the load and state that a host reported in response headers.
 func (s *Server) applyLoad(host *route.Host, load engine.Load) {
 	if load.Known {
-		host.Reported(load.Running, load.Waiting, s.now())
+		host.RecordLoad(load.Running, load.Waiting, s.now())
 	}
 	if load.Leaving {
 		host.SetLeaving()
@@ -186,7 +186,7 @@
 	_ = x.out.writeEnd()
 	s.budget.Succeeded()
 	s.prefixes.Note(r.prefix, host)
-	s.routes.Served(r.want.Model, s.now().Sub(r.started))
+	s.routes.Served(r.requirements.Model, s.now().Sub(r.started))
 	s.metrics.finished.Inc(1)
 	if x.lastToken > 1 {
 		s.metrics.tokenInterval.RecordDuration(x.meanTokenInterval())
@@ -194,7 +194,7 @@
 	if x.attained() {
 		s.metrics.attained.Inc(1)
 	}
-	s.ring.Add(event.Event{Kind: event.RequestFinished, Request: r.id, Model: r.want.Model, Host: host.Name()})
+	s.ring.Add(event.Event{Kind: event.RequestFinished, Request: r.id, Model: r.requirements.Model, Host: host.Name()})
 }
 
 // attained reports whether the answer met the latency target of its model,
@@ -292,9 +292,9 @@
 	case f.leaving:
 		host.SetLeaving()
 	case f.busy:
-		host.Busy()
+		host.ReduceLimit()
 	case f.healthy:
-	case host.Failed(s.now()):
+	case host.RecordFailure(s.now()):
 		s.ring.Add(event.Event{Kind: event.HostEjected, Host: host.Name(), Reason: f.reason})
 	}
 }
--- a/src/gateway/doc.go
+++ b/src/gateway/doc.go
@@ -3,7 +3,7 @@
 //
 //	client ──HTTP──▶ Server ─▶ admit (limit.Queues) ─▶ pick (route.Table) ─▶ relay
 //	                                                                       │
-//	                   engine.Streams / service.Client ◀── attempt ────────┤
+//	                   engine.StreamClient / service.Client ◀── attempt ───┤
 //	                             │ broken, refused as not run              │
 //	                             └───── resume or retry on another host ───┘
 //	planners ──routes──▶ Routes ──▶ route.Table        Routes ──demand──▶ planners
--- a/src/gateway/fake_test.go
+++ b/src/gateway/fake_test.go
@@ -36,7 +36,7 @@
 	address     string
 	engines     []*emulator.Engine
 	routes      []wire.HostRoute
-	streams     *engine.Streams
+	streams     *engine.StreamClient
 	plain       *service.Client
 	controlNode *fakeControlNode
 }
@@ -83,7 +83,7 @@
 		{Key: config.Key{Kind: config.KindModel, Name: "m"}, Model: &config.Model{Memory: 1, Version: "v1"}},
 		{Key: config.Key{Kind: config.KindAdapter, Name: "m-a"}, Adapter: &config.Adapter{Model: "m", Memory: 1}},
 		{Key: config.Key{Kind: config.KindLabel, Name: "latest"}, Label: &config.Label{PointsTo: "m-a"}},
-		{Key: config.Key{Kind: config.KindService, Name: "desk"}, Service: &config.Service{Calls: []config.Call{{Method: "POST", Path: "/register", Once: true}}}},
+		{Key: config.Key{Kind: config.KindService, Name: "desk"}, Service: &config.Service{Calls: []config.Call{{Method: "POST", Path: "/register", AtMostOnce: true}}}},
 	})
 }
 
@@ -112,15 +112,15 @@
 	if !follower.Await(ctx, 5*time.Second) {
 		t.Fatal("no configuration")
 	}
-	b.streams, _ = engine.NewStreams(nil, 5*time.Second)
+	b.streams, _ = engine.NewStreamClient(nil, 5*time.Second)
 	b.plain, _ = service.New(nil, 5*time.Second)
-	streams, _ := engine.NewStreams(nil, settings.Limits.TokenWait.Std())
+	streams, _ := engine.NewStreamClient(nil, settings.Limits.TokenWait.Std())
 	services, _ := service.New(nil, settings.Limits.HeaderWait.Std())
 	tracer, _ := trace.New("e1", option.Trace{})
 	queues := limit.NewQueues(settings.Limits.Queue)
 	routes := NewRoutes("e1", "a", follower, meter, nil, time.Now, queues.ReleaseAll)
 	b.server = New(settings, Dependencies{
-		Follower: follower, Routes: routes, Streams: streams, Services: services, Queues: queues,
+		Follower: follower, Routes: routes, StreamClient: streams, Services: services, Queues: queues,
 		Tracer: tracer, Ring: ring, Metrics: metric.New("gateway"), Now: time.Now,
 	})
 	ln := listen(t)
@@ -153,9 +153,9 @@
 }
 
 // addPlain starts an emulated plain service.
-func (b *testGateway) addPlain(name string) (*emulator.Plain, string) {
+func (b *testGateway) addPlain(name string) (*emulator.PlainService, string) {
 	b.t.Helper()
-	p := emulator.NewPlain(name, 0)
+	p := emulator.NewPlainService(name, 0)
 	ln := listen(b.t)
 	p.Serve(ln)
 	b.addRoute(wire.HostRoute{Host: name, Pool: "desk", Zone: "a", Address: ln.Addr().String(), State: wire.HostLive, Slots: 16})
@@ -219,6 +219,6 @@
 		_ = c.GetConn().Close()
 		return
 	}
-	_ = w.WriteEvent("", "", []byte(engine.EndMark))
+	_ = w.WriteEvent("", "", []byte(engine.StreamEnd))
 	_ = w.Close()
 }
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -96,8 +96,8 @@
 	text, err := b.ask("r", "m", "p", 6)
 	is.NoErr(err)
 	is.Equal(text, emulator.Answer("m", "p", 6))
-	is.Equal(first.Ran("r"), 1) // each host sent three tokens
-	is.Equal(second.Ran("r"), 1)
+	is.Equal(first.RunCount("r"), 1) // each host sent three tokens
+	is.Equal(second.RunCount("r"), 1)
 	is.Equal(b.server.Status().Resumed, uint64(1))
 }
 
@@ -112,8 +112,8 @@
 		id := fmt.Sprint("r", i)
 		_, err := b.ask(id, "m", fmt.Sprint("p", i), 2)
 		is.NoErr(err)
-		ran += leaving.Ran(id)
-		is.Equal(leaving.Ran(id)+staying.Ran(id), 1)
+		ran += leaving.RunCount(id)
+		is.Equal(leaving.RunCount(id)+staying.RunCount(id), 1)
 	}
 	is.True(ran <= 1)
 }
@@ -218,7 +218,7 @@
 }
 
 func (b *testGateway) register(key string) (service.Answer, error) {
-	return b.plain.Do(context.Background(), b.address, service.Call{Method: "POST", Path: "/services/desk/register", Body: []byte("form"), ID: "r-" + key, Key: key, Once: true})
+	return b.plain.Do(context.Background(), b.address, service.Call{Method: "POST", Path: "/services/desk/register", Body: []byte("form"), ID: "r-" + key, Key: key, AtMostOnce: true})
 }
 
 func TestOnceCallIsNotRetriedAfterLostAnswer(t *testing.T) {
@@ -338,7 +338,7 @@
 	}
 }
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 // TestRequestPromises has hosts behave in any order of success and failure and
 // checks the guarantees to clients: a request that is refused as not run did not
@@ -351,7 +351,7 @@
 		hosts = append(hosts, host)
 		b.fakeHost(name, func(h *server.Hertz) { h.POST(engine.PathCompletions, host.handle) })
 	}
-	b.server.budget = limit.NewBudget(1e6) // retries must not run out of budget
+	b.server.budget = limit.NewRetryBudget(1e6) // retries must not run out of budget
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
--- a/src/gateway/main.go
+++ b/src/gateway/main.go
@@ -36,7 +36,7 @@
 
 // run starts a gateway, serves until a signal, and shuts it down.
 func run(settings option.Gateway) error {
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	defer cancel()
 	var s *Server
 	proc, err := process.New("gateway", settings.Common, func(status *wire.Status) {
@@ -68,7 +68,7 @@
 }
 
 func newServer(settings option.Gateway, proc *process.Process) (*Server, error) {
-	streams, err := engine.NewStreams(proc.Cut(), settings.Limits.TokenWait.Std())
+	streams, err := engine.NewStreamClient(proc.Cut(), settings.Limits.TokenWait.Std())
 	if err != nil {
 		return nil, err
 	}
@@ -84,15 +84,15 @@
 	follower := follow.New(settings.ControlNodes, settings.Zone, proc.Meter(), proc.Cut(), proc.Ring(), proc.Heartbeat)
 	routes := NewRoutes(settings.Node, settings.Zone, follower, proc.Meter(), proc.Cut(), time.Now, queues.ReleaseAll)
 	return New(settings, Dependencies{
-		Follower: follower,
-		Routes:   routes,
-		Streams:  streams,
-		Services: services,
-		Queues:   queues,
-		Tracer:   tracer,
-		Ring:     proc.Ring(),
-		Metrics:  proc.Metrics(),
-		Now:      time.Now,
+		Follower:     follower,
+		Routes:       routes,
+		StreamClient: streams,
+		Services:     services,
+		Queues:       queues,
+		Tracer:       tracer,
+		Ring:         proc.Ring(),
+		Metrics:      proc.Metrics(),
+		Now:          time.Now,
 	}), nil
 }
 
--- a/src/gateway/plain.go
+++ b/src/gateway/plain.go
@@ -26,7 +26,7 @@
 		s.refuse(c, refusal)
 		return
 	}
-	span := s.tracer.Start(trace.Extract(ctx, r.trace), "client request", r.id, r.want.Pool, "")
+	span := s.tracer.Start(trace.Extract(ctx, r.trace), "client request", r.id, r.requirements.Pool, "")
 	defer span.End(nil)
 	claim, refusal := s.claimKey(ctx, r)
 	if refusal != nil {
@@ -53,7 +53,7 @@
 	if definition == nil {
 		return r.refuse(consts.StatusNotFound, ReasonUnknownModel, DidNotRun, "there is no service "+name)
 	}
-	r.want = route.Want{Pool: name}
+	r.requirements = route.Requirements{Pool: name}
 	r.path = "/" + strings.TrimPrefix(c.Param("path"), "/")
 	r.once = r.once || isOnceCall(definition, string(c.Method()), r.path)
 	if query := string(c.URI().QueryString()); query != "" {
@@ -66,7 +66,7 @@
 // isOnceCall reports whether the configuration forbids repeating a call.
 func isOnceCall(definition *config.Service, method, path string) bool {
 	for _, call := range definition.Calls {
-		if call.Once && call.Method == method && strings.HasPrefix(path, call.Path) {
+		if call.AtMostOnce && call.Method == method && strings.HasPrefix(path, call.Path) {
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 		if err == nil {
 			s.budget.Succeeded()
 			s.metrics.finished.Inc(1)
-			s.ring.Add(event.Event{Kind: event.RequestFinished, Request: x.r.id, Model: x.r.want.Pool, Host: host.Name()})
+			s.ring.Add(event.Event{Kind: event.RequestFinished, Request: x.r.id, Model: x.r.requirements.Pool, Host: host.Name()})
 			return answer, nil
 		}
 		if refusal := x.handleFailure(ctx, host, attempt, err); refusal != nil {
@@ -108,14 +108,14 @@
 func (x *plainExchange) attempt(ctx context.Context, host *route.Host) (service.Answer, error) {
 	s, r := x.server, x.r
 	start := s.now()
-	span := s.tracer.Start(ctx, "backend attempt", r.id, r.want.Pool, host.Name())
+	span := s.tracer.Start(ctx, "backend attempt", r.id, r.requirements.Pool, host.Name())
 	host.Begin()
 	r.tried.Add(host)
-	s.ring.Add(event.Event{Kind: event.RequestRouted, Request: r.id, Model: r.want.Pool, Host: host.Name(), Zone: host.Zone()})
-	call := service.Call{Method: x.method, Path: r.path, ContentType: x.contentType, Body: r.body, ID: r.id, Key: r.key, Once: r.once, Trace: span.Traceparent()}
+	s.ring.Add(event.Event{Kind: event.RequestRouted, Request: r.id, Model: r.requirements.Pool, Host: host.Name(), Zone: host.Zone()})
+	call := service.Call{Method: x.method, Path: r.path, ContentType: x.contentType, Body: r.body, ID: r.id, Key: r.key, AtMostOnce: r.once, Trace: span.Traceparent()}
 	answer, err := s.services.Do(ctx, host.Address(), call)
 	if err != nil {
-		host.Fail()
+		host.EndUnanswered()
 	} else {
 		host.End(s.now().Sub(start), true)
 	}
--- a/src/gateway/relay_bench_test.go
+++ b/src/gateway/relay_bench_test.go
@@ -31,7 +31,7 @@
 		for n := 1; n <= tokens; n++ {
 			_ = w.WriteEvent(strconv.Itoa(n), "", data)
 		}
-		_ = w.WriteEvent("", "", []byte(engine.EndMark))
+		_ = w.WriteEvent("", "", []byte(engine.StreamEnd))
 		_ = w.Close()
 	})
 	go func() { _ = h.Run() }()
--- a/src/gateway/request.go
+++ b/src/gateway/request.go
@@ -45,13 +45,13 @@
 	deadline time.Time
 	// once is set if the request must not be repeated; key is its idempotency key,
 	// empty for none.
-	once   bool
-	key    string
-	trace  string
-	want   route.Want
-	path   string
-	body   []byte
-	stream bool
+	once         bool
+	key          string
+	trace        string
+	requirements route.Requirements
+	path         string
+	body         []byte
+	stream       bool
 	// requestedModel is the name in the request, which may be a label.
 	requestedModel string
 	// prefix is a hash of the start of the prompt.
@@ -154,13 +154,13 @@
 	}
 	r.requestedModel = parsed.Model
 	r.stream = parsed.Stream
-	r.want = route.Want{Model: resolved.Model(), Adapter: resolved.Adapter()}
+	r.requirements = route.Requirements{Model: resolved.Model(), Adapter: resolved.Adapter()}
 	r.target = set.Model(resolved.Model()).Target
 	prompt := parsed.Messages
 	if len(prompt) == 0 {
 		prompt = parsed.Prompt
 	}
-	r.prefix = prefixHash(r.want, prompt)
+	r.prefix = prefixHash(r.requirements, prompt)
 	return r.rewriteBody(fields)
 }
 
@@ -168,9 +168,9 @@
 // name and always requests a stream, so that a broken answer can be resumed on
 // another host.
 func (r *request) rewriteBody(fields map[string]json.RawMessage) *Refusal {
-	name := r.want.Model
-	if r.want.Adapter != "" {
-		name = r.want.Adapter
+	name := r.requirements.Model
+	if r.requirements.Adapter != "" {
+		name = r.requirements.Adapter
 	}
 	quoted, err := json.Marshal(name)
 	if err != nil {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-func prefixHash(want route.Want, prompt []byte) uint64 {
+func prefixHash(want route.Requirements, prompt []byte) uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(want.Model)
 	_, _ = hash.WriteString(want.Adapter)
--- a/src/gateway/routes.go
+++ b/src/gateway/routes.go
@@ -127,7 +127,7 @@
 	}
 	for _, load := range update.Loads {
 		if host := r.hosts[load.Host]; host != nil {
-			host.Reported(load.Running, load.Waiting, r.now())
+			host.RecordLoad(load.Running, load.Waiting, r.now())
 		}
 	}
 	tableChanged := len(update.Hosts) > 0 || update.Full
--- a/src/gateway/server.go
+++ b/src/gateway/server.go
@@ -32,10 +32,10 @@
 	settings option.Gateway
 	follower *follow.Follower
 	routes   *Routes
-	streams  *engine.Streams
+	streams  *engine.StreamClient
 	services *service.Client
 	queues   *limit.Queues
-	budget   *limit.Budget
+	budget   *limit.RetryBudget
 	prefixes *route.Prefixes
 	tracer   *trace.Tracer
 	ring     *event.Ring
@@ -59,15 +59,15 @@
 
 // Dependencies are the components that a server uses.
 type Dependencies struct {
-	Follower *follow.Follower
-	Routes   *Routes
-	Streams  *engine.Streams
-	Services *service.Client
-	Queues   *limit.Queues
-	Tracer   *trace.Tracer
-	Ring     *event.Ring
-	Metrics  *metric.Registry
-	Now      func() time.Time
+	Follower     *follow.Follower
+	Routes       *Routes
+	StreamClient *engine.StreamClient
+	Services     *service.Client
+	Queues       *limit.Queues
+	Tracer       *trace.Tracer
+	Ring         *event.Ring
+	Metrics      *metric.Registry
+	Now          func() time.Time
 }
 
 // New returns a server; Listen or Serve starts it.
@@ -77,10 +77,10 @@
 		settings: settings,
 		follower: d.Follower,
 		routes:   d.Routes,
-		streams:  d.Streams,
+		streams:  d.StreamClient,
 		services: d.Services,
 		queues:   d.Queues,
-		budget:   limit.NewBudget(settings.Limits.RetryShare),
+		budget:   limit.NewRetryBudget(settings.Limits.RetryShare),
 		prefixes: &route.Prefixes{},
 		tracer:   d.Tracer,
 		ring:     d.Ring,
@@ -163,7 +163,7 @@
 func (s *Server) pick(r *request) (*route.Host, route.Verdict) {
 	random := s.random.Get().(*rand.Rand)
 	defer s.random.Put(random)
-	return s.routes.Table().Pick(s.now(), route.Request{Want: r.want, Tried: &r.tried, Prefix: r.prefix, Mode: s.settings.Routing}, s.prefixes, random)
+	return s.routes.Table().Pick(s.now(), route.Request{Requirements: r.requirements, Tried: &r.tried, Prefix: r.prefix, Mode: s.settings.Routing}, s.prefixes, random)
 }
 
 func (s *Server) backoff(n int) time.Duration {
@@ -192,9 +192,9 @@
 	set, table := s.follower.Set(), s.routes.Table()
 	list := modelList{Object: "list"}
 	for _, name := range set.ModelNames() {
-		list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: "moorspool", Ready: table.Has(route.Want{Model: name})})
+		list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: "moorspool", Ready: table.Has(route.Requirements{Model: name})})
 		for _, adapter := range set.AdapterNames(name) {
-			ready := table.Has(route.Want{Model: name, Adapter: adapter})
+			ready := table.Has(route.Requirements{Model: name, Adapter: adapter})
 			list.Data = append(list.Data, modelEntry{ID: adapter, Object: "model", OwnedBy: "moorspool", Parent: name, Ready: ready})
 		}
 	}
--- a/src/limit/budget.go
+++ b/src/limit/budget.go
@@ -9,28 +9,28 @@
 // initialTokens allows the first retries before any request has succeeded.
 const initialTokens = 10
 
-// Budget limits retries to a fraction of the successful requests, so that failures can't multiply
+// RetryBudget limits retries to a fraction of the successful requests, so that failures can't multiply
 // the load. It is safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	mu     sync.Mutex
 	share  float64
 	tokens float64
 }
 
-// NewBudget returns a budget that allows share retries for each successful request.
-func NewBudget(share float64) *Budget {
-	return &Budget{share: share, tokens: initialTokens}
+// NewRetryBudget returns a budget that allows share retries for each successful request.
+func NewRetryBudget(share float64) *RetryBudget {
+	return &RetryBudget{share: share, tokens: initialTokens}
 }
 
 // Succeeded adds the share of a retry that a successful request earns.
-func (b *Budget) Succeeded() {
+func (b *RetryBudget) Succeeded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.share, initialTokens*10)
 }
 
 // Take consumes one retry; it reports false if the budget is used up.
-func (b *Budget) Take() bool {
+func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/src/limit/limit_test.go
+++ b/src/limit/limit_test.go
@@ -11,7 +11,7 @@
 
 func isCalled(t *Ticket) bool {
 	select {
-	case <-t.Called():
+	case <-t.Ready():
 		return true
 	default:
 		return false
@@ -40,7 +40,7 @@
 	is.True(q.Join("m", 0, noon) == nil)
 	is.True(q.Join("m", 3, noon) != nil)
 	select {
-	case <-low.Lost():
+	case <-low.Evicted():
 	default:
 		t.Error("the evicted request was not told")
 	}
@@ -49,7 +49,7 @@
 }
 
 func TestRetriesStayWithinTheirShare(t *testing.T) {
-	b := NewBudget(0.1)
+	b := NewRetryBudget(0.1)
 	retries := 0
 	for range 1000 {
 		if b.Take() {
--- a/src/limit/queue.go
+++ b/src/limit/queue.go
@@ -17,11 +17,11 @@
 	model    string
 }
 
-// Called returns a channel that is closed when the request may try again.
-func (t *Ticket) Called() <-chan struct{} { return t.called }
+// Ready returns a channel that is closed when the request may try again.
+func (t *Ticket) Ready() <-chan struct{} { return t.called }
 
-// Lost returns a channel that is closed when a request of higher priority took the place.
-func (t *Ticket) Lost() <-chan struct{} { return t.lost }
+// Evicted returns a channel that is closed when a request of higher priority took the place.
+func (t *Ticket) Evicted() <-chan struct{} { return t.lost }
 
 // waitPerPriority is the waiting time that counts as much as one step of priority, so that requests
 // of low priority are served eventually.
--- a/src/member/host_test.go
+++ b/src/member/host_test.go
@@ -10,7 +10,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 var baseTime = time.Unix(1_800_000_000, 0)
 
--- a/src/metric/metric.go
+++ b/src/metric/metric.go
@@ -56,8 +56,8 @@
 	return r.scope.Histogram(name, latencyBuckets)
 }
 
-// Handler returns a function that writes all metrics in the Prometheus text format.
-func (r *Registry) Handler() func() []byte {
+// Encoder returns a function that writes all metrics in the Prometheus text format.
+func (r *Registry) Encoder() func() []byte {
 	return func() []byte {
 		families, err := r.gatherer.Gather()
 		if err != nil {
--- a/src/option/option.go
+++ b/src/option/option.go
@@ -28,7 +28,7 @@
 	Found    bool   `long:"found" description:"control nodes only: let an empty data folder found a new installation"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 	Args     struct {
-		Words []string `positional-arg-name:"COMMAND"`
+		Command []string `positional-arg-name:"COMMAND"`
 	} `positional-args:"yes"`
 }
 
@@ -160,7 +160,7 @@
 		}
 		return options, errors.Errorf("%s; see %s --help", err, name)
 	}
-	if options.Settings == "" && !options.Version && len(options.Args.Words) == 0 {
+	if options.Settings == "" && !options.Version && len(options.Args.Command) == 0 {
 		return options, errors.Errorf("no settings file; use -c FILE, see %s --help", name)
 	}
 	return options, nil
--- a/src/place/choose.go
+++ b/src/place/choose.go
@@ -15,7 +15,7 @@
 	hosts := p.hostsOf(model)
 	for i := range p.in.Accelerators {
 		switch {
-		case !p.in.Accelerators[i].Open:
+		case !p.in.Accelerators[i].Available:
 		case p.accelerators[i].free < model.Footprint:
 			noRoom++
 		case slices.Contains(hosts, p.in.Accelerators[i].Host) || slices.Contains(p.accelerators[i].copies, model.Name) || model.leavingAt(i):
--- a/src/place/plan.go
+++ b/src/place/plan.go
@@ -30,8 +30,8 @@
 	Index int
 	// Free is the memory that no resident copy or unsettled order takes, according to the ledger.
 	Free config.Bytes
-	// Open is false on hosts that are leaving, drained, suspect or gone.
-	Open bool
+	// Available is false on hosts that are leaving, drained, suspect or gone.
+	Available bool
 	// Slots is the number of requests that run concurrently at full speed.
 	Slots int
 	// Cached is set for the models that can be loaded without the weight store.
@@ -56,12 +56,12 @@
 	Models       []Model
 	Accelerators []Accelerator
 	Copies       []Copy
-	Weigh        config.Weigh
-	// Loads is the number of loads that may start now. Loads for models without a copy go before
+	Objective    config.Objective
+	// MaxLoads is the number of loads that may start now. Loads for models without a copy go before
 	// those that add copies.
-	Loads int
-	// Spares asks for a second copy of every model while there is free memory.
-	Spares bool
+	MaxLoads int
+	// SpareCopies asks for a second copy of every model while there is free memory.
+	SpareCopies bool
 }
 
 // Action is what a step does.
@@ -171,7 +171,7 @@
 
 // maxUtilization returns the utilization above which another copy is added.
 func (p *planner) maxUtilization() float64 {
-	if p.in.Weigh == config.WeighMoves {
+	if p.in.Objective == config.ObjectiveMoves {
 		return maxUtilizationMoves
 	}
 	return maxUtilizationAttainment
@@ -197,7 +197,7 @@
 		p.addWantedCopies(model)
 	}
 	p.relieveOverloaded(order)
-	if !p.in.Spares {
+	if !p.in.SpareCopies {
 		return
 	}
 	for _, model := range order {
--- a/src/place/plan_test.go
+++ b/src/place/plan_test.go
@@ -13,7 +13,7 @@
 func testAccelerators(hosts int, free config.Bytes) []Accelerator {
 	var all []Accelerator
 	for i := 0; i < hosts; i++ {
-		all = append(all, Accelerator{Host: "h" + strconv.Itoa(i), Free: free, Open: true, Slots: 8})
+		all = append(all, Accelerator{Host: "h" + strconv.Itoa(i), Free: free, Available: true, Slots: 8})
 	}
 	return all
 }
@@ -25,7 +25,7 @@
 		Models:       []Model{{Name: "m", Footprint: 1, Demand: 100}},
 		Accelerators: testAccelerators(4, 10),
 		Copies:       []Copy{{Model: "m", Accelerator: 0, Ready: true}},
-		Loads:        0,
+		MaxLoads:     0,
 	})
 	is := is.New(t)
 	is.Equal(len(out.Steps), 0)
@@ -36,7 +36,7 @@
 	out := Plan(Input{
 		Models:       []Model{{Name: "low", Footprint: 6}, {Name: "high", Footprint: 6, Rank: 1}},
 		Accelerators: testAccelerators(1, 10),
-		Loads:        9,
+		MaxLoads:     9,
 	})
 	is := is.New(t)
 	is.Equal(len(out.Steps), 1)
@@ -50,9 +50,9 @@
 		Models:       []Model{{Name: "a", Footprint: 6}, {Name: "b", Footprint: 6, Rank: 1}},
 		Accelerators: testAccelerators(2, 4),
 		Copies:       []Copy{{Model: "a", Accelerator: 0, Ready: true}, {Model: "a", Accelerator: 1, Ready: true}},
-		Loads:        9,
+		MaxLoads:     9,
 	}
-	in.Accelerators[1].Open = false
+	in.Accelerators[1].Available = false
 	out := Plan(in)
 	is := is.New(t)
 	for _, step := range out.Steps {
@@ -66,7 +66,7 @@
 		Models:       []Model{{Name: "a", Footprint: 6}, {Name: "b", Footprint: 6}},
 		Accelerators: testAccelerators(2, 4),
 		Copies:       []Copy{{Model: "a", Accelerator: 0, Ready: true}, {Model: "a", Accelerator: 1, Ready: true}},
-		Loads:        9,
+		MaxLoads:     9,
 	})
 	is := is.New(t)
 	is.Equal(len(out.Steps), 1)
@@ -81,7 +81,7 @@
 		Models:       []Model{{Name: "a", Footprint: 6}, {Name: "b", Footprint: 6}},
 		Accelerators: testAccelerators(2, 8),
 		Copies:       []Copy{{Model: "a", Accelerator: 0, Ready: true, Stale: true}, {Model: "a", Accelerator: 1, Ready: true, Stale: true}},
-		Loads:        9,
+		MaxLoads:     9,
 	}
 	out := Plan(in)
 	is := is.New(t)
@@ -103,15 +103,15 @@
 		},
 		Accelerators: []Accelerator{
 			{Host: "leaves", Slots: 100},
-			{Host: "a", Open: true, Slots: 100},
-			{Host: "b", Open: true, Slots: 100},
+			{Host: "a", Available: true, Slots: 100},
+			{Host: "b", Available: true, Slots: 100},
 		},
 		Copies: []Copy{
 			{Model: "stranded", Accelerator: 0, Ready: true},
 			{Model: "spare", Accelerator: 1, Ready: true},
 			{Model: "spare", Accelerator: 2, Ready: true},
 		},
-		Loads: 1,
+		MaxLoads: 1,
 	}
 	out := Plan(in)
 	is.Equal(len(out.Unplaced), 0)
--- a/src/place/room.go
+++ b/src/place/room.go
@@ -13,7 +13,7 @@
 	var bestVictims []*modelState
 	hosts := p.hostsOf(model)
 	for i, accelerator := range p.in.Accelerators {
-		if !accelerator.Open || slices.Contains(hosts, accelerator.Host) || (len(model.Apart) > 0 && p.violatesApart(model, i)) {
+		if !accelerator.Available || slices.Contains(hosts, accelerator.Host) || (len(model.Apart) > 0 && p.violatesApart(model, i)) {
 			continue
 		}
 		victims, cost, enough := p.victims(model, i)
--- a/src/place/state.go
+++ b/src/place/state.go
@@ -52,7 +52,7 @@
 		in:           in,
 		models:       make(map[string]*modelState, len(in.Models)),
 		accelerators: make([]acceleratorState, len(in.Accelerators)),
-		loadsLeft:    in.Loads,
+		loadsLeft:    in.MaxLoads,
 	}
 	p.slots = p.meanSlots()
 	for i, accelerator := range in.Accelerators {
@@ -95,7 +95,7 @@
 
 // stays reports whether a copy is on an open host and not stale.
 func (p *planner) stays(held heldCopy) bool {
-	return p.in.Accelerators[held.at].Open && !held.stale
+	return p.in.Accelerators[held.at].Available && !held.stale
 }
 
 // openCopies counts the copies on open hosts that are not stale.
@@ -124,7 +124,7 @@
 func (p *planner) servingCopies(m *modelState) int {
 	count := 0
 	for _, held := range m.copies {
-		if held.ready && p.in.Accelerators[held.at].Open {
+		if held.ready && p.in.Accelerators[held.at].Available {
 			count++
 		}
 	}
--- a/src/planner/input.go
+++ b/src/planner/input.go
@@ -39,7 +39,7 @@
 		}
 		open := z.members[name].state == member.Live && !z.drainedHosts[name]
 		for i := 0; i < host.Accelerators(); i++ {
-			all = append(all, place.Accelerator{Host: name, Index: i, Free: host.Free(i), Open: open, Slots: host.Report().Slots})
+			all = append(all, place.Accelerator{Host: name, Index: i, Free: host.Free(i), Available: open, Slots: host.Report().Slots})
 		}
 	}
 	return all
@@ -47,7 +47,7 @@
 
 // Input returns everything that the next plan depends on.
 func (z *Zone) Input(now time.Time) place.Input {
-	in := place.Input{Spares: true, Accelerators: z.accelerators(), Weigh: z.policy.Weigh, Loads: z.allowedLoads(now)}
+	in := place.Input{SpareCopies: true, Accelerators: z.accelerators(), Objective: z.policy.Objective, MaxLoads: z.allowedLoads(now)}
 	for _, model := range z.set.ModelNames() {
 		if slices.Contains(z.set.AssignedZones(model), z.name) {
 			in.Models = append(in.Models, z.model(model))
--- a/src/planner/main.go
+++ b/src/planner/main.go
@@ -23,7 +23,7 @@
 
 // run runs a planner with its settings until a signal stops it.
 func run(settings option.Planner) error {
-	ctx, cancel := process.UntilSignal()
+	ctx, cancel := process.SignalContext()
 	defer cancel()
 	var runner *Runner
 	proc, err := process.New("planner", settings.Common, func(status *wire.Status) {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	control, err := engine.NewControl(proc.Cut(), proc.Meter().Count)
+	control, err := engine.NewControlClient(proc.Cut(), proc.Meter().AddExternal)
 	if err != nil {
 		return err
 	}
--- a/src/planner/orders.go
+++ b/src/planner/orders.go
@@ -285,8 +285,8 @@
 	return unfenced || hostLedger.NeedsFence(now, fenceDelay)
 }
 
-// Answer records the answer to an order.
-func (z *Zone) Answer(hostOrder HostOrder, reply engine.OrderReply) {
+// OrderAnswered records the answer to an order.
+func (z *Zone) OrderAnswered(hostOrder HostOrder, reply engine.OrderReply) {
 	kind := event.OrderSent
 	hostLedger := z.ledger.Host(hostOrder.Host)
 	if hostLedger == nil {
@@ -304,15 +304,15 @@
 	z.ring.Add(event.Event{Kind: kind, Model: hostOrder.Order.Weights.Model, Host: hostOrder.Host, Zone: z.name, Reason: describe(hostOrder.Order) + " " + string(reply.Outcome) + " " + reply.Reason})
 }
 
-// NoAnswer records that no answer to an order arrived.
-func (z *Zone) NoAnswer(hostOrder HostOrder) {
+// OrderUnanswered records that no answer to an order arrived.
+func (z *Zone) OrderUnanswered(hostOrder HostOrder) {
 	if hostLedger := z.ledger.Host(hostOrder.Host); hostLedger != nil {
 		hostLedger.MarkInDoubt(hostOrder.Order)
 	}
 }
 
-// NotSent records that an order was not sent.
-func (z *Zone) NotSent(hostOrder HostOrder) {
+// OrderNotSent records that an order was not sent.
+func (z *Zone) OrderNotSent(hostOrder HostOrder) {
 	if hostLedger := z.ledger.Host(hostOrder.Host); hostLedger != nil {
 		hostLedger.Discard(hostOrder.Order)
 	}
--- a/src/planner/publisher.go
+++ b/src/planner/publisher.go
@@ -89,7 +89,7 @@
 	p.mu.Unlock()
 	p.runner.mu.Lock()
 	defer p.runner.mu.Unlock()
-	p.runner.zone.Demand(report)
+	p.runner.zone.RecordDemand(report)
 	return wire.Empty{}, nil
 }
 
@@ -158,7 +158,7 @@
 	defer func() { z.set = present }()
 	z.set = withChange(present, request)
 	in := z.Input(now)
-	in.Loads = maxPreviewLoads
+	in.MaxLoads = maxPreviewLoads
 	out := place.Plan(in)
 	reply := wire.PlanReply{Unplaced: out.Unplaced}
 	for _, step := range out.Steps {
@@ -176,7 +176,7 @@
 // withChange returns the configuration after a change, including the assignments to availability
 // zones that the control nodes would make.
 func withChange(set *config.Set, request wire.PlanRequest) *config.Set {
-	changed := set.With(request.Put, request.Delete)
+	changed := set.WithChanges(request.Put, request.Delete)
 	assign, unassign := place.Assign(changed)
-	return changed.With(assign, unassign)
+	return changed.WithChanges(assign, unassign)
 }
--- a/src/planner/runner.go
+++ b/src/planner/runner.go
@@ -28,7 +28,7 @@
 	address   string
 	zoneName  string
 	follower  *follow.Follower
-	control   *engine.Control
+	control   *engine.ControlClient
 	platform  *discovery.Reader
 	publisher *Publisher
 	ring      *event.Ring
@@ -43,7 +43,7 @@
 
 // NewRunner returns a runner for a zone; holder identifies this process as the holder of the zone's
 // authority.
-func NewRunner(zone *Zone, zoneName, holder, address string, follower *follow.Follower, control *engine.Control, list *discovery.Reader, ring *event.Ring, now func() time.Time) *Runner {
+func NewRunner(zone *Zone, zoneName, holder, address string, follower *follow.Follower, control *engine.ControlClient, list *discovery.Reader, ring *event.Ring, now func() time.Time) *Runner {
 	r := &Runner{
 		holder:   holder,
 		address:  address,
@@ -211,7 +211,7 @@
 		r.mu.Lock()
 		allowed := r.zone.MaySend(hostOrder, r.now())
 		if !allowed {
-			r.zone.NotSent(hostOrder)
+			r.zone.OrderNotSent(hostOrder)
 		}
 		r.mu.Unlock()
 		if !allowed {
@@ -220,9 +220,9 @@
 		reply, err := r.control.Order(ctx, hostOrder.Address, hostOrder.Order)
 		r.mu.Lock()
 		if err != nil {
-			r.zone.NoAnswer(hostOrder)
+			r.zone.OrderUnanswered(hostOrder)
 		} else {
-			r.zone.Answer(hostOrder, reply)
+			r.zone.OrderAnswered(hostOrder, reply)
 		}
 		r.mu.Unlock()
 	}
--- a/src/planner/zone.go
+++ b/src/planner/zone.go
@@ -182,8 +182,8 @@
 	return pool.Pool != nil && pool.Pool.ChecksOrders
 }
 
-// Demand records the demand report of a gateway.
-func (z *Zone) Demand(report wire.DemandReport) { z.demandEstimates.add(report) }
+// RecordDemand records the demand report of a gateway.
+func (z *Zone) RecordDemand(report wire.DemandReport) { z.demandEstimates.add(report) }
 
 // Drain drains a host or, with undo, ends its drain.
 func (z *Zone) Drain(host string, undo bool) {
--- a/src/planner/zone_test.go
+++ b/src/planner/zone_test.go
@@ -17,7 +17,7 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 // fakeEngine simulates the engine of a backend server. It accepts orders at once and counts those
 // that would overcommit its memory.
@@ -52,7 +52,7 @@
 	switch order.Action {
 	case engine.ActionLoad:
 		if e.holds(order.Weights) {
-			return engine.OrderReply{Outcome: engine.OrderTaken}
+			return engine.OrderReply{Outcome: engine.OrderAccepted}
 		}
 		if e.used()+order.Bytes > e.report.Capacity[0] {
 			e.overcommits++
@@ -63,7 +63,7 @@
 	case engine.ActionUnload:
 		e.unload(order.Weights)
 	}
-	return engine.OrderReply{Outcome: engine.OrderTaken}
+	return engine.OrderReply{Outcome: engine.OrderAccepted}
 }
 
 func (e *fakeEngine) holds(w engine.Weights) bool {
@@ -130,7 +130,7 @@
 func testConfig(version string, adapters int) *config.Set {
 	objects := []config.Object{
 		{Key: config.Key{Kind: config.KindPool, Name: "p"}, Pool: &config.Pool{Zones: []config.PoolZone{{Zone: "z", Replicas: hostCount}}, Accelerators: 1, Memory: 72, ChecksOrders: true}},
-		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: config.WeighAttainment, Store: config.Store{LoadsPerSecond: 5, FullSpeed: 5}}},
+		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Objective: config.ObjectiveAttainment, Store: config.Store{LoadsPerSecond: 5, FullSpeed: 5}}},
 	}
 	for i := 0; i < 6; i++ {
 		name := fmt.Sprint("m", i)
@@ -182,7 +182,7 @@
 			deliveries = sim.deliver(hostOrder)
 		}
 		if len(deliveries) == 0 {
-			sim.zone.NoAnswer(hostOrder)
+			sim.zone.OrderUnanswered(hostOrder)
 		}
 		sim.inFlight = append(sim.inFlight, deliveries...)
 	}
@@ -199,9 +199,9 @@
 		}
 		reply := sim.engines[d.hostOrder.Host].execute(d.hostOrder.Order, sim.now)
 		if d.answered && d.hostOrder.Order.Epoch == sim.epoch {
-			sim.zone.Answer(d.hostOrder, reply)
+			sim.zone.OrderAnswered(d.hostOrder, reply)
 		} else if d.hostOrder.Order.Epoch == sim.epoch {
-			sim.zone.NoAnswer(d.hostOrder)
+			sim.zone.OrderUnanswered(d.hostOrder)
 		}
 	}
 	sim.inFlight = later
@@ -336,7 +336,7 @@
 	pool, _ := set.Get(config.Key{Kind: config.KindPool, Name: "p"})
 	unchecked := *pool.Pool
 	unchecked.ChecksOrders = false
-	set = set.With([]config.Object{{Key: pool.Key, Pool: &unchecked}}, nil)
+	set = set.WithChanges([]config.Object{{Key: pool.Key, Pool: &unchecked}}, nil)
 	sim := newSimulation(set)
 	is := is.New(t)
 	sent := 0
@@ -390,7 +390,7 @@
 			case 2:
 				sim.replacePlanner(set)
 			case 3:
-				sim.zone.Demand(wire.DemandReport{Models: []wire.ModelDemand{{Model: "m1", Requests: 9, Busy: 20000}}})
+				sim.zone.RecordDemand(wire.DemandReport{Models: []wire.ModelDemand{{Model: "m1", Requests: 9, Busy: 20000}}})
 			case 4:
 				version = map[string]string{"v1": "v2", "v2": "v1"}[version]
 				set = testConfig(version, 1)
@@ -430,5 +430,5 @@
 		text += fmt.Sprintf("\ndraining %v", key)
 	}
 	in := sim.zone.Input(sim.now)
-	return text + fmt.Sprintf("\nzone epoch %d, unplaced %v, loads %d, accelerators %+v, copies %+v, steps %+v", sim.zone.Epoch(), sim.zone.unplaced, in.Loads, in.Accelerators, in.Copies, place.Plan(in).Steps)
+	return text + fmt.Sprintf("\nzone epoch %d, unplaced %v, loads %d, accelerators %+v, copies %+v, steps %+v", sim.zone.Epoch(), sim.zone.unplaced, in.MaxLoads, in.Accelerators, in.Copies, place.Plan(in).Steps)
 }
--- a/src/policy/engine.go
+++ b/src/policy/engine.go
@@ -54,12 +54,12 @@
 	case engine.ActionUnload:
 		e.unload(order.Weights)
 	}
-	return engine.OrderReply{Outcome: engine.OrderTaken}
+	return engine.OrderReply{Outcome: engine.OrderAccepted}
 }
 
 func (e *fakeEngine) load(w engine.Weights, bytes config.Bytes, store *fakeStore, now time.Time) engine.OrderReply {
 	if e.findCopy(w) >= 0 {
-		return engine.OrderReply{Outcome: engine.OrderTaken}
+		return engine.OrderReply{Outcome: engine.OrderAccepted}
 	}
 	if e.usedMemory()+bytes > e.report.Capacity[0] {
 		e.breaches++
@@ -68,7 +68,7 @@
 	e.loads++
 	e.report.Copies = append(e.report.Copies, engine.Copy{Weights: w, Bytes: bytes, State: engine.CopyLoading})
 	e.readyAt[w] = store.load(now)
-	return engine.OrderReply{Outcome: engine.OrderTaken}
+	return engine.OrderReply{Outcome: engine.OrderAccepted}
 }
 
 // unload removes a model with its adapters, or one adapter.
--- a/src/policy/policies.go
+++ b/src/policy/policies.go
@@ -60,10 +60,10 @@
 		for _, send := range o.zones[i].Step(now, ^uint64(0)) {
 			e := zone.byName[send.Host]
 			if e.down || o.b.random.Float64() < o.b.e.LostOrders {
-				o.zones[i].NoAnswer(send)
+				o.zones[i].OrderUnanswered(send)
 				continue
 			}
-			o.zones[i].Answer(send, e.execute(send.Order, o.b.store, now))
+			o.zones[i].OrderAnswered(send, e.execute(send.Order, o.b.store, now))
 		}
 	}
 	o.b.updateTables(func(z int) []wire.HostRoute { return o.zones[z].Routes(0).Hosts })
@@ -92,7 +92,7 @@
 		zone.busy, zone.unserved = map[string]time.Duration{}, map[string]int{}
 	}
 	for i, report := range reports {
-		o.zones[i].Demand(report)
+		o.zones[i].RecordDemand(report)
 	}
 }
 
@@ -136,7 +136,7 @@
 		zone.loadsSeenAt = now
 		for _, other := range b.zones {
 			for _, e := range other.engines {
-				zone.hosts[e.report.Host].Reported(e.running, 0, now)
+				zone.hosts[e.report.Host].RecordLoad(e.running, 0, now)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 
 func pickByRouter(z *zoneSim, model string, random *rand.Rand) *fakeEngine {
 	for tried, n := (&route.Tried{}), 0; n < 3; n++ {
-		host, verdict := z.table.Pick(z.loadsSeenAt, route.Request{Want: route.Want{Model: model}, Tried: tried}, nil, random)
+		host, verdict := z.table.Pick(z.loadsSeenAt, route.Request{Requirements: route.Requirements{Model: model}, Tried: tried}, nil, random)
 		if verdict != route.Chosen {
 			return nil
 		}
@@ -153,7 +153,7 @@
 			host.Begin()
 			return e
 		}
-		host.Failed(z.loadsSeenAt)
+		host.RecordFailure(z.loadsSeenAt)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 func pickLeastReported(z *zoneSim, model string, _ *rand.Rand) *fakeEngine {
 	var best *fakeEngine
 	for _, e := range z.holders(model) {
-		if best == nil || z.hosts[e.report.Host].Seen() < z.hosts[best.report.Host].Seen() {
+		if best == nil || z.hosts[e.report.Host].ReportedLoad() < z.hosts[best.report.Host].ReportedLoad() {
 			best = e
 		}
 	}
@@ -246,9 +246,9 @@
 // reach it. The last ready copy of a model stays until another one is ready.
 func (r *replanPlacer) apply(z int, now time.Time) {
 	zone := r.b.zones[z]
-	in := place.Input{Spares: true, Weigh: r.b.e.Weigh, Loads: 1 << 20}
+	in := place.Input{SpareCopies: true, Objective: r.b.e.Objective, MaxLoads: 1 << 20}
 	for _, e := range zone.engines {
-		in.Accelerators = append(in.Accelerators, place.Accelerator{Host: e.report.Host, Free: r.b.e.Memory, Open: !e.down, Slots: r.b.e.Slots})
+		in.Accelerators = append(in.Accelerators, place.Accelerator{Host: e.report.Host, Free: r.b.e.Memory, Available: !e.down, Slots: r.b.e.Slots})
 	}
 	total := 0.0
 	at := now.Sub(r.b.start)
--- a/src/process/admin.go
+++ b/src/process/admin.go
@@ -59,7 +59,7 @@
 	h := NewServer(ln, maxAdminBodyBytes)
 	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.String(consts.StatusOK, "ok\n") })
 	h.GET("/readyz", p.answerReady)
-	metrics := p.metrics.Handler()
+	metrics := p.metrics.Encoder()
 	h.GET("/metrics", func(_ context.Context, c *app.RequestContext) {
 		p.updateGauges()
 		c.SetContentType("text/plain; version=0.0.4; charset=utf-8")
@@ -76,7 +76,7 @@
 	p.metrics.Gauge("control_bytes_in", float64(cost.BytesIn))
 	p.metrics.Gauge("control_bytes_out", float64(cost.BytesOut))
 	p.metrics.Gauge("control_messages", float64(cost.Messages))
-	for _, kind := range p.meter.Kinds() {
+	for _, kind := range p.meter.MethodCounts() {
 		p.metrics.GaugeOf("control_messages_in_by_method", "method", kind.Method, float64(kind.MessagesIn))
 		p.metrics.GaugeOf("control_bytes_in_by_method", "method", kind.Method, float64(kind.BytesIn))
 		p.metrics.GaugeOf("control_messages_out_by_method", "method", kind.Method, float64(kind.MessagesOut))
--- a/src/process/main.go
+++ b/src/process/main.go
@@ -13,8 +13,8 @@
 	Name string
 	// Load reads and checks the settings and returns the function that runs the server.
 	Load func(flags option.Flags) (run func() error, err error)
-	// Words runs a subcommand, given in place of settings; nil if the binary has none.
-	Words func(words []string) error
+	// Command runs a subcommand, given in place of settings; nil if the binary has none.
+	Command func(words []string) error
 }
 
 // The exit codes of servers.
@@ -41,8 +41,8 @@
 		fmt.Println(p.Name, option.Version)
 		return nil
 	}
-	if len(flags.Args.Words) > 0 && p.Words != nil {
-		return p.Words(flags.Args.Words)
+	if len(flags.Args.Command) > 0 && p.Command != nil {
+		return p.Command(flags.Args.Command)
 	}
 	run, err := p.Load(flags)
 	if err != nil {
--- a/src/process/process.go
+++ b/src/process/process.go
@@ -144,8 +144,8 @@
 // CloseLog writes the last log lines of a process that failed before Serve.
 func (p *Process) CloseLog() { p.writer.Close(logFlushTimeout) }
 
-// UntilSignal returns a context that is canceled by SIGTERM or SIGINT.
-func UntilSignal() (context.Context, context.CancelFunc) {
+// SignalContext returns a context that is canceled by SIGTERM or SIGINT.
+func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
--- a/src/quota/quota_test.go
+++ b/src/quota/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 func testParameters() Parameters { return NewParameters(8*time.Second, 0.1, 17000) }
 
--- a/src/raft/core.go
+++ b/src/raft/core.go
@@ -129,8 +129,8 @@
 	failedElections int
 }
 
-// Start is the state loaded from a control node's data folder.
-type Start struct {
+// InitialState is the state loaded from a control node's data folder.
+type InitialState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
@@ -138,7 +138,7 @@
 
 // New returns a Core for control node id that resumes from the state on its disk. random is the
 // source of election timeouts.
-func New(id ID, start Start, options Options, random *rand.Rand, now time.Time) *Core {
+func New(id ID, start InitialState, options Options, random *rand.Rand, now time.Time) *Core {
 	c := &Core{
 		id:           id,
 		options:      options,
@@ -194,18 +194,18 @@
 	return 0
 }
 
-// Contact returns when the latest broadcast that a member has acknowledged to this leader was sent,
+// LastContact returns when the latest broadcast that a member has acknowledged to this leader was sent,
 // or the zero time if there is none or this node is not the leader.
-func (c *Core) Contact(id ID) time.Time {
+func (c *Core) LastContact(id ID) time.Time {
 	if p := c.progress[id]; p != nil {
 		return p.ackedAt
 	}
 	return time.Time{}
 }
 
-// LedSince returns when this node was elected leader of the current term, or
+// LeaderSince returns when this node was elected leader of the current term, or
 // the zero time if it is not the leader.
-func (c *Core) LedSince() time.Time {
+func (c *Core) LeaderSince() time.Time {
 	if c.role != Leader {
 		return time.Time{}
 	}
@@ -327,7 +327,7 @@
 }
 
 // LastIndex returns the last index in the loaded state.
-func (s Start) LastIndex() uint64 {
+func (s InitialState) LastIndex() uint64 {
 	if n := len(s.Entries); n > 0 {
 		return s.Entries[n-1].Index
 	}
@@ -335,7 +335,7 @@
 }
 
 // Members returns the membership in the loaded state.
-func (s Start) Members() Members {
+func (s InitialState) Members() Members {
 	log := memoryLog{snapshot: s.Snapshot, entries: s.Entries}
 	members, _ := log.members()
 	return members
--- a/src/raft/core_test.go
+++ b/src/raft/core_test.go
@@ -12,7 +12,7 @@
 var startTime = time.Unix(1_800_000_000, 0)
 
 func restartedCore(commit uint64, entries int) *Core {
-	start := Start{
+	start := InitialState{
 		HardState: HardState{Term: 3, Vote: "a", Commit: commit},
 		Snapshot:  Snapshot{Members: Members{Voters: []ID{"a", "b", "c"}}},
 	}
@@ -98,7 +98,7 @@
 func TestFollowerConfirmsOnlyAppliedCommits(t *testing.T) {
 	is := is.New(t)
 	c := restartedCore(0, 0)
-	is.True(c.Confirmed().IsZero())
+	is.True(c.ConfirmedAt().IsZero())
 	receiveAppend := func(now time.Time, m Message) {
 		m.Kind, m.From, m.To, m.Term = MsgAppend, "b", "a", 4
 		c.Step(now, m)
@@ -107,10 +107,10 @@
 		}
 	}
 	receiveAppend(startTime, Message{})
-	is.Equal(c.Confirmed(), startTime)
+	is.Equal(c.ConfirmedAt(), startTime)
 	later := startTime.Add(time.Second)
 	receiveAppend(later, Message{Commit: 1, Index: 1, LogTerm: 4}) // entry 1 is missing
-	is.Equal(c.Confirmed(), startTime)
+	is.Equal(c.ConfirmedAt(), startTime)
 	receiveAppend(later, Message{Commit: 1, Entries: []Entry{{Term: 4, Index: 1}}})
-	is.Equal(c.Confirmed(), later)
+	is.Equal(c.ConfirmedAt(), later)
 }
--- a/src/raft/suspend_test.go
+++ b/src/raft/suspend_test.go
@@ -37,7 +37,7 @@
 	w := &suspendSimulation{clockLag: make([]time.Duration, 3), suspended: make([]bool, 3), undelivered: make([][]Message, 3), partitioned: -1}
 	members := Members{Voters: []ID{"0", "1", "2"}}
 	for i := range 3 {
-		start := Start{Snapshot: Snapshot{Members: members}}
+		start := InitialState{Snapshot: Snapshot{Members: members}}
 		w.cores = append(w.cores, New(members.Voters[i], start, DefaultOptions(), rand.New(rand.NewPCG(uint64(i), 5)), startTime))
 	}
 	return w
--- a/src/ratelimit/issuer_test.go
+++ b/src/ratelimit/issuer_test.go
@@ -12,7 +12,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 // bound returns how many requests a cold backend server may get in any second: one and a half times
 // its rate and five more.
--- a/src/route/baseline.go
+++ b/src/route/baseline.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if best == nil {
-		return nil, Missing
+		return nil, Unreachable
 	}
 	return best, Chosen
 }
--- a/src/route/host.go
+++ b/src/route/host.go
@@ -110,15 +110,15 @@
 // hasCapacity reports whether this gateway may send another request to the host.
 func (h *Host) hasCapacity() bool { return h.inFlight.Load() < h.limit.Load() }
 
-// Reported records a load report of the host.
-func (h *Host) Reported(running, waiting int, now time.Time) {
+// RecordLoad records a load report of the host.
+func (h *Host) RecordLoad(running, waiting int, now time.Time) {
 	h.reported.Store(int64(running + waiting))
 	h.reportedAt.Store(now.UnixNano())
 	h.sentSinceReport.Store(0)
 }
 
-// Seen returns the last reported load, without this gateway's own requests since.
-func (h *Host) Seen() int64 { return h.reported.Load() }
+// ReportedLoad returns the last reported load, without this gateway's own requests since.
+func (h *Host) ReportedLoad() int64 { return h.reported.Load() }
 
 // Begin counts a request that is about to be sent.
 func (h *Host) Begin() {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Fail counts the end of a request that got no answer.
-func (h *Host) Fail() { h.inFlight.Add(-1) }
+// EndUnanswered counts the end of a request that got no answer.
+func (h *Host) EndUnanswered() { h.inFlight.Add(-1) }
 
 // adjustLimit changes the limit. Two requests that end at once may undo each other's change, which
 // only delays the adjustment.
@@ -164,13 +164,13 @@
 	}
 }
 
-// Busy lowers the limit after the host refused a request because it was full.
-func (h *Host) Busy() {
+// ReduceLimit lowers the limit after the host refused a request because it was full.
+func (h *Host) ReduceLimit() {
 	h.limit.Store(max(h.limit.Load()*3/4, minLimit))
 }
 
-// Failed counts a failure and reports whether the host is ejected because of it.
-func (h *Host) Failed(now time.Time) bool {
+// RecordFailure counts a failure and reports whether the host is ejected because of it.
+func (h *Host) RecordFailure(now time.Time) bool {
 	h.breaker.recordFailure(now)
 	failures := h.failures.Add(1)
 	if failures < ejectAfter {
@@ -204,5 +204,7 @@
 // slowStartTime is how long a host with a newly loaded copy gets less load.
 const slowStartTime = 2 * time.Second
 
-// MarkFresh starts the host's slow start.
-func (h *Host) MarkFresh(now time.Time) { h.slowStartUntil.Store(now.Add(slowStartTime).UnixNano()) }
+// StartSlowStart starts the host's slow start.
+func (h *Host) StartSlowStart(now time.Time) {
+	h.slowStartUntil.Store(now.Add(slowStartTime).UnixNano())
+}
--- a/src/route/pick.go
+++ b/src/route/pick.go
@@ -27,8 +27,8 @@
 	Chosen Verdict = iota
 	// Full means that every host that could serve the request has reached this gateway's limit.
 	Full
-	// Missing means that no reachable host can serve the request.
-	Missing
+	// Unreachable means that no reachable host can serve the request.
+	Unreachable
 )
 
 // Tried contains the hosts that a request was already sent to.
@@ -93,9 +93,9 @@
 
 // Request contains the inputs of a choice.
 type Request struct {
-	Want   Want
-	Tried  *Tried
-	Prefix uint64
+	Requirements Requirements
+	Tried        *Tried
+	Prefix       uint64
 	// Mode is ByCost or "", which means the same; other modes are baselines for measurements.
 	Mode Mode
 }
@@ -103,9 +103,9 @@
 // Pick chooses the host for a request. It compares a random sample of the candidates, mostly local
 // ones, and the host that has the prompt's prefix in its cache.
 func (t *Table) Pick(now time.Time, r Request, prefixes *Prefixes, random *rand.Rand) (*Host, Verdict) {
-	c := t.find(r.Want)
+	c := t.find(r.Requirements)
 	if c.len() == 0 {
-		return nil, Missing
+		return nil, Unreachable
 	}
 	if r.Mode != "" && r.Mode != ByCost {
 		return c.pickBaseline(r.Mode, random.Uint64(), now.UnixNano(), r.Tried)
@@ -221,5 +221,5 @@
 	case full:
 		return nil, Full
 	}
-	return nil, Missing
+	return nil, Unreachable
 }
--- a/src/route/pick_test.go
+++ b/src/route/pick_test.go
@@ -37,24 +37,24 @@
 	hosts[1].SetState(wire.HostLeaving)
 	r := random()
 	for range 100 {
-		h, verdict := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, r)
+		h, verdict := table.Pick(noon, Request{Requirements: Requirements{Model: "m"}}, nil, r)
 		if verdict != Chosen || h != hosts[2] {
 			t.Fatal("a leaving host was chosen")
 		}
 	}
 	hosts[2].SetLeaving()
-	_, verdict := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, r)
-	is.New(t).Equal(verdict, Missing)
+	_, verdict := table.Pick(noon, Request{Requirements: Requirements{Model: "m"}}, nil, r)
+	is.New(t).Equal(verdict, Unreachable)
 }
 
 func TestEjectionNeverMakesAModelUnreachable(t *testing.T) {
 	table, hosts := newTestTable(2, "a")
 	for _, h := range hosts {
 		for range ejectAfter {
-			h.Failed(noon)
+			h.RecordFailure(noon)
 		}
 	}
-	_, verdict := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, random())
+	_, verdict := table.Pick(noon, Request{Requirements: Requirements{Model: "m"}}, nil, random())
 	is.New(t).Equal(verdict, Chosen)
 }
 
@@ -62,11 +62,11 @@
 	table, hosts := newTestTable(4, "b")
 	is := is.New(t)
 	for _, h := range hosts {
-		h.Failed(noon) // one failure each opens the zone's breaker and ejects no host
+		h.RecordFailure(noon) // one failure each opens the zone's breaker and ejects no host
 	}
-	_, verdict := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, random())
-	is.Equal(verdict, Missing)
-	_, verdict = table.Pick(noon.Add(minOpenTime+1), Request{Want: Want{Model: "m"}}, nil, random())
+	_, verdict := table.Pick(noon, Request{Requirements: Requirements{Model: "m"}}, nil, random())
+	is.Equal(verdict, Unreachable)
+	_, verdict = table.Pick(noon.Add(minOpenTime+1), Request{Requirements: Requirements{Model: "m"}}, nil, random())
 	is.Equal(verdict, Chosen)
 }
 
@@ -76,7 +76,7 @@
 		h.limit.Store(1)
 		h.Begin()
 	}
-	_, verdict := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, random())
+	_, verdict := table.Pick(noon, Request{Requirements: Requirements{Model: "m"}}, nil, random())
 	is.New(t).Equal(verdict, Full)
 }
 
@@ -87,9 +87,9 @@
 	for e := range gateways {
 		table, hosts := newTestTable(replicas, "a")
 		for i, h := range hosts {
-			h.Reported(i, 0, noon) // h0000 looks idle to all gateways
+			h.RecordLoad(i, 0, noon) // h0000 looks idle to all gateways
 		}
-		h, _ := table.Pick(noon, Request{Want: Want{Model: "m"}}, nil, rand.New(rand.NewPCG(uint64(e), 1)))
+		h, _ := table.Pick(noon, Request{Requirements: Requirements{Model: "m"}}, nil, rand.New(rand.NewPCG(uint64(e), 1)))
 		chosen[h.Name()]++
 	}
 	worst := 0
@@ -111,7 +111,7 @@
 			tried := &Tried{}
 			b.ReportAllocs()
 			for range b.N {
-				table.Pick(noon, Request{Want: Want{Model: "m"}, Tried: tried, Prefix: 7}, prefixes, r)
+				table.Pick(noon, Request{Requirements: Requirements{Model: "m"}, Tried: tried, Prefix: 7}, prefixes, r)
 			}
 		})
 	}
--- a/src/route/table.go
+++ b/src/route/table.go
@@ -89,17 +89,17 @@
 func (t *Table) Models() int { return len(t.models) }
 
 // Has reports whether a copy of the model or adapter is ready.
-func (t *Table) Has(want Want) bool { return t.find(want).len() > 0 }
+func (t *Table) Has(want Requirements) bool { return t.find(want).len() > 0 }
 
-// Want is what a request needs.
-type Want struct {
+// Requirements is what a request needs.
+type Requirements struct {
 	Model   string
 	Adapter string
 	// Pool is the name of a plain service, used instead of a model.
 	Pool string
 }
 
-func (t *Table) find(want Want) *candidates {
+func (t *Table) find(want Requirements) *candidates {
 	switch {
 	case want.Pool != "":
 		return t.pools[want.Pool]
@@ -109,9 +109,9 @@
 	return t.models[want.Model]
 }
 
-// Drain estimates how long the candidates need to serve the given number of requests that wait
+// EstimateWait estimates how long the candidates need to serve the given number of requests that wait
 // before this one.
-func (t *Table) Drain(want Want, waiting int) time.Duration {
+func (t *Table) EstimateWait(want Requirements, waiting int) time.Duration {
 	c := t.find(want)
 	var slots, serviceTime int64
 	for i := 0; i < c.len(); i++ {
--- a/src/rpc/meter.go
+++ b/src/rpc/meter.go
@@ -54,8 +54,8 @@
 	k.bytesOut.Add(int64(bytes))
 }
 
-// Kinds returns the counts of all methods, sorted by method.
-func (m *Meter) Kinds() []MethodCount {
+// MethodCounts returns the counts of all methods, sorted by method.
+func (m *Meter) MethodCounts() []MethodCount {
 	var all []MethodCount
 	m.methods.Range(func(method, counts any) bool {
 		k := counts.(*methodCounters)
@@ -72,8 +72,8 @@
 	return all
 }
 
-// Count adds a request and response of the given sizes that were not sent through rpc.
-func (m *Meter) Count(in, out int) {
+// AddExternal adds a request and response of the given sizes that were not sent through rpc.
+func (m *Meter) AddExternal(in, out int) {
 	m.bytesIn.Add(int64(in))
 	m.bytesOut.Add(int64(out))
 	m.messages.Add(2)
--- a/src/rpc/mux.go
+++ b/src/rpc/mux.go
@@ -57,8 +57,8 @@
 	return errors.As(err, &rpcErr) && rpcErr.Code == jsonrpc2.CodeMethodNotFound
 }
 
-// IsAnswer reports whether an error is a response from the peer rather than a failure to get one.
-func IsAnswer(err error) bool {
+// IsResponse reports whether an error is a response from the peer rather than a failure to get one.
+func IsResponse(err error) bool {
 	var rpcErr *jsonrpc2.Error
 	return errors.As(err, &rpcErr)
 }
--- a/src/service/client.go
+++ b/src/service/client.go
@@ -32,9 +32,9 @@
 	Body        []byte
 	ID          string
 	Key         string
-	// Once is set if the call must not be sent a second time.
-	Once  bool
-	Trace string
+	// AtMostOnce is set if the call must not be sent a second time.
+	AtMostOnce bool
+	Trace      string
 }
 
 // Answer is a complete response.
@@ -91,14 +91,14 @@
 	defer protocol.ReleaseResponse(response)
 	fillRequest(request, address, call)
 	client := c.pooled
-	if call.Once {
+	if call.AtMostOnce {
 		client = c.single
 		// Hertz retries a call with a plain body if a connection fails early, but never one with a
 		// streamed body.
 		request.SetBodyStream(bytes.NewReader(call.Body), len(call.Body))
 	}
 	if err := client.Do(ctx, request, response); err != nil {
-		return Answer{}, &Failure{NotRun: dial.IsDial(err), cause: err}
+		return Answer{}, &Failure{NotRun: dial.IsConnectError(err), cause: err}
 	}
 	if response.Header.Get(engine.HeaderNotRun) == "true" {
 		status := response.StatusCode()
@@ -109,7 +109,7 @@
 		Status:      response.StatusCode(),
 		ContentType: string(response.Header.ContentType()),
 		Body:        append([]byte(nil), response.Body()...),
-		Load:        engine.LoadOf(response),
+		Load:        engine.ResponseLoad(response),
 	}, nil
 }
 
--- a/src/store/backup.go
+++ b/src/store/backup.go
@@ -21,18 +21,18 @@
 
 // Read returns the contents of a data folder without modifying it. A torn record is an error
 // only if valid records follow it.
-func Read(path string) (Identity, raft.Start, error) {
+func Read(path string) (Identity, raft.InitialState, error) {
 	copied, err := os.MkdirTemp("", "moorspool-read-")
 	if err != nil {
-		return Identity{}, raft.Start{}, errors.Wrap(err, "reading the data folder")
+		return Identity{}, raft.InitialState{}, errors.Wrap(err, "reading the data folder")
 	}
 	defer os.RemoveAll(copied)
 	if err := os.CopyFS(copied, os.DirFS(path)); err != nil {
-		return Identity{}, raft.Start{}, errors.Wrap(err, "reading the data folder")
+		return Identity{}, raft.InitialState{}, errors.Wrap(err, "reading the data folder")
 	}
 	f := &Folder{path: copied}
 	if err := f.readIdentity(); err != nil {
-		return Identity{}, raft.Start{}, err
+		return Identity{}, raft.InitialState{}, err
 	}
 	start, err := f.load()
 	return f.identity, start, err
--- a/src/store/folder.go
+++ b/src/store/folder.go
@@ -96,26 +96,26 @@
 
 // Open opens a data folder, initializes it if it is empty, and returns its contents. A torn
 // record at the end is truncated. Open fails with ErrForeign, ErrVersion or ErrDamaged.
-func Open(options Options) (*Folder, raft.Start, error) {
+func Open(options Options) (*Folder, raft.InitialState, error) {
 	f := &Folder{path: options.Path, openFile: options.OpenFile}
 	if f.openFile == nil {
 		f.openFile = openAppend
 	}
 	if err := os.MkdirAll(options.Path, folderMode); err != nil {
-		return nil, raft.Start{}, errors.Wrap(err, "creating the data folder")
+		return nil, raft.InitialState{}, errors.Wrap(err, "creating the data folder")
 	}
 	if err := f.loadIdentity(options); err != nil {
-		return nil, raft.Start{}, err
+		return nil, raft.InitialState{}, err
 	}
 	start, err := f.load()
 	if err != nil {
-		return nil, raft.Start{}, err
+		return nil, raft.InitialState{}, err
 	}
 	if start.Snapshot.Index == 0 && len(f.identity.Founders) > 0 {
 		start.Snapshot.Members = raft.Members{Voters: f.identity.Founders}
 	}
 	if err := f.openSegment(); err != nil {
-		return nil, raft.Start{}, err
+		return nil, raft.InitialState{}, err
 	}
 	return f, start, nil
 }
--- a/src/store/load.go
+++ b/src/store/load.go
@@ -12,8 +12,8 @@
 )
 
 // load reads the snapshot and then the log files in order.
-func (f *Folder) load() (raft.Start, error) {
-	var start raft.Start
+func (f *Folder) load() (raft.InitialState, error) {
+	var start raft.InitialState
 	if err := f.loadSnapshot(&start); err != nil {
 		return start, err
 	}
@@ -33,7 +33,7 @@
 	return start, nil
 }
 
-func (f *Folder) loadSnapshot(start *raft.Start) error {
+func (f *Folder) loadSnapshot(start *raft.InitialState) error {
 	data, err := os.ReadFile(filepath.Join(f.path, snapshotFile))
 	if os.IsNotExist(err) {
 		return nil
@@ -50,7 +50,7 @@
 
 // loadSegment reads one log file. A torn record at the end of the newest file is
 // truncated: it was never acknowledged.
-func (f *Folder) loadSegment(name string, newest bool, start *raft.Start) error {
+func (f *Folder) loadSegment(name string, newest bool, start *raft.InitialState) error {
 	path := filepath.Join(f.path, name)
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return false
 }
 
-func replay(start *raft.Start, r record) error {
+func replay(start *raft.InitialState, r record) error {
 	if r.HardState != nil {
 		start.HardState = *r.HardState
 	}
--- a/src/testseed/testseed.go
+++ b/src/testseed/testseed.go
@@ -9,12 +9,12 @@
 
 const defaultSeed = "20261202"
 
-// EnvSoak is the environment variable that selects random seeds; rapid prints the seed of a failure.
-const EnvSoak = "MOORSPOOL_SOAK"
+// RandomSeedEnv is the environment variable that selects random seeds; rapid prints the seed of a failure.
+const RandomSeedEnv = "MOORSPOOL_SOAK"
 
-// Fix sets rapid's flags. It must be called from the init function of a test package.
-func Fix() {
-	if os.Getenv(EnvSoak) != "" {
+// SetFixedSeed sets rapid's flags. It must be called from the init function of a test package.
+func SetFixedSeed() {
+	if os.Getenv(RandomSeedEnv) != "" {
 		return
 	}
 	for name, value := range map[string]string{"rapid.seed": defaultSeed, "rapid.nofailfile": "true"} {
--- a/src/wire/admission.go
+++ b/src/wire/admission.go
@@ -17,8 +17,8 @@
 	AdmissionGranted Admission = "granted"
 	// QuotaExhausted means that the account's quota is exhausted for now.
 	QuotaExhausted Admission = "spent"
-	// AdmissionUncertain means that no reachable node can decide.
-	AdmissionUncertain Admission = ""
+	// AdmissionUnknown means that no reachable node can decide.
+	AdmissionUnknown Admission = ""
 )
 
 // AdmitReply is the reply to an AdmitRequest.
