--- a/src/catalog/account_test.go
+++ b/src/catalog/account_test.go
@@ -30,7 +30,7 @@
 	is.True(!strings.Contains(Check(d).Error(), secret))
 }
 
-func TestFaultsOfAccountsAreFoundWithTheirPlace(t *testing.T) {
+func TestAccountErrorsAreFoundWithLocation(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Check(keyed(account("a", "k1", "k2"), account("b")))), 0)
 	findings := Check(keyed(account("a", "k1"), account("b", "k2", "k1")))
--- a/src/clock/clock_test.go
+++ b/src/clock/clock_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestASuspensionCounts: the clock must advance during a suspension, in which the monotonic clock of
+// TestClockAdvancesDuringSuspension: the clock must advance during a suspension, in which the monotonic clock of
 // package time stands still, and its times must be compared without monotonic readings.
-func TestASuspensionCounts(t *testing.T) {
+func TestClockAdvancesDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	boot := 5 * time.Second
 	c, err := New(time.Now(), func() (time.Duration, error) { return boot, nil })
--- a/src/control/cluster_test.go
+++ b/src/control/cluster_test.go
@@ -165,7 +165,7 @@
 	is.Equal(len(tc.voters(first)), 3)
 }
 
-func TestAcceptedDocumentOutlivesTheDeathOfAll(t *testing.T) {
+func TestAcceptedDocumentSurvivesRestartOfAllNodes(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	folders := map[string]string{}
@@ -204,7 +204,7 @@
 	is.True(!alone.cluster.Read(context.Background()).Known)
 }
 
-func TestFoundersAreKeptThoughSeedsChange(t *testing.T) {
+func TestFoundersAreKeptWhenSeedsChange(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	seeds := tc.seeds
@@ -299,7 +299,7 @@
 
 // A caller that asks right after the election, before anything else ran, must not be told that the
 // node has led since the zero time.
-func TestALeaderKnowsSinceWhenAtOnce(t *testing.T) {
+func TestNewLeaderKnowsItsElectionTime(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
 	n := tc.nodes[tc.seeds[0]]
--- a/src/control/join_test.go
+++ b/src/control/join_test.go
@@ -99,7 +99,7 @@
 }
 
 // Seeds are only the first addresses to ask; the leader may be another node.
-func TestAWipedNodeIsLetInThoughNoSeedLeads(t *testing.T) {
+func TestWipedNodeJoinsWhenNoSeedLeads(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	tc.electNonSeed()
@@ -109,7 +109,7 @@
 }
 
 // The node joins from an address that no other node knows.
-func TestAnEmptyNodeElsewhereIsLetInThoughNoSeedLeads(t *testing.T) {
+func TestNewNodeJoinsWhenNoSeedLeads(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.electNonSeed()
 	delete(tc.nodes, tc.seeds[1])
@@ -118,7 +118,7 @@
 
 // Each lost disk is replaced before the next one is lost, so a majority always holds the last
 // acknowledged change, also after all nodes lose power at once.
-func TestDisksLostOneAfterTheOtherLeaveAMajority(t *testing.T) {
+func TestDisksLostInSequenceLeaveAMajority(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	a, b, c := tc.seeds[0], tc.seeds[1], tc.seeds[2]
 	spare := tc.electNonSeed()
@@ -158,7 +158,7 @@
 }
 
 // Voters that are permanently gone are replaced one at a time, although two of them are silent.
-func TestNextVotersReplacesVotersThatAreGoneForGood(t *testing.T) {
+func TestNextVotersReplacesFailedVoters(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
 	members := raft.Members{
@@ -177,7 +177,7 @@
 }
 
 // Only learners that are out of contact are removed.
-func TestNextVotersForgetsLearnersThatAreGone(t *testing.T) {
+func TestNextVotersRemovesSilentLearners(t *testing.T) {
 	is := is.New(t)
 	noon := time.Unix(1_800_000_000, 0)
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}, Learners: []raft.ID{"f#1", "g#1"}}
@@ -205,7 +205,7 @@
 
 // The other nodes still send messages to the address under its earlier identity; their senders need
 // not be seeds.
-func TestAMessageForALostFolderSaysWhomToAsk(t *testing.T) {
+func TestMessageForAnEarlierIdentityRevealsItsSender(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
 	tc.seeds = nil
@@ -219,7 +219,7 @@
 
 // Two nodes that take each other for the leader must not forward a request back and forth. The
 // reply names other nodes to ask.
-func TestARequestToBeLetInIsPassedOnOnce(t *testing.T) {
+func TestJoinRequestIsForwardedOnce(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	a, b := tc.nodes[tc.seeds[0]], tc.nodes[tc.seeds[1]]
@@ -237,7 +237,7 @@
 }
 
 // A node that is not a member must not acknowledge anything that requires a majority.
-func TestANodeThatIsNoMemberKnowsNoMajority(t *testing.T) {
+func TestNonMemberKnowsNoMajority(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
 	tc.seeds = nil
--- a/src/control/links_test.go
+++ b/src/control/links_test.go
@@ -14,7 +14,7 @@
 // Notifications on a connection are handled in order, and votes once shared a connection with
 // demand, load and backlog reports. When one of those waited for the CPU, all votes waited too, and
 // after a full power loss there was no leader for seconds.
-func TestAVoteDoesNotWaitBehindOtherNews(t *testing.T) {
+func TestVoteDoesNotWaitForOtherNotifications(t *testing.T) {
 	is := is.New(t)
 	held, release, stepped := make(chan struct{}), make(chan struct{}), make(chan raft.Message)
 	mux := rpc.NewMux()
--- a/src/control/power_test.go
+++ b/src/control/power_test.go
@@ -20,7 +20,7 @@
 // node applies the previous configuration, and gateways follow it, until a leader is elected. With
 // all nodes isolated after such a power loss, all three applied version 5 after version 6 had been
 // acknowledged.
-func TestWhatWasAcknowledgedIsInForceAfterALossOfPowerWithoutALeader(t *testing.T) {
+func TestAcknowledgedConfigurationIsAppliedAfterPowerLossWithoutALeader(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
--- a/src/control/quorum_test.go
+++ b/src/control/quorum_test.go
@@ -14,7 +14,7 @@
 // Reading the quorum used to wait for the event loop, and the loop for the disk, up to 1 s next to
 // other heavy writers. In one run a control node served no metrics within a second; it is not
 // proven that this was the cause.
-func TestTheMembershipIsToldWhileTheDiskHangs(t *testing.T) {
+func TestQuorumIsReadableWhileTheDiskHangs(t *testing.T) {
 	is := is.New(t)
 	hangs, release := make(chan struct{}, 16), make(chan struct{})
 	save := func(*raft.HardState, []raft.Entry) error {
--- a/src/control/slow_disk_test.go
+++ b/src/control/slow_disk_test.go
@@ -110,7 +110,7 @@
 // settle the change, whose sync outlasted the call again. In a soak test with such disks no version
 // was acknowledged in 170 s, although gateways acted on them; this test failed in the same way with
 // 12 copies of each change.
-func TestAChangeIsAcknowledgedThoughASyncOutlastsItsCalls(t *testing.T) {
+func TestChangeIsAcknowledgedWhenASyncOutlastsItsCalls(t *testing.T) {
 	is := is.New(t)
 	cluster, stop := clusterOfOne(t, forwardTimeout+150*time.Millisecond)
 	defer stop()
@@ -130,7 +130,7 @@
 
 // The first copy of a change must be acknowledged if its caller waits long enough, rather than be
 // reported as unknown.
-func TestACallThatWaitsIsAnsweredOnceItsSyncsAreDone(t *testing.T) {
+func TestFirstCopyIsAcknowledgedOnceItsSyncsAreDone(t *testing.T) {
 	is := is.New(t)
 	cluster, stop := clusterOfOne(t, forwardTimeout+150*time.Millisecond)
 	defer stop()
--- a/src/control/slow_history_test.go
+++ b/src/control/slow_history_test.go
@@ -187,7 +187,7 @@
 
 // A leader with a hung disk used to keep its role as long as it answered heartbeats, and blocked
 // every change. It must soon be replaced by a node with a working disk.
-func TestALeaderWhoseDiskHangsHandsOver(t *testing.T) {
+func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := newSim(t, seed, "k1", "k2", "k3")
 		s.run(2 * time.Second)
--- a/src/control/zone_test.go
+++ b/src/control/zone_test.go
@@ -222,7 +222,7 @@
 }
 
 // A drain is settled before it is acknowledged, like a configuration.
-func TestADrainIsKnownAfterALossOfPowerWithoutALeader(t *testing.T) {
+func TestDrainIsKnownAfterPowerLossWithoutALeader(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 3)
 	first := tc.nodes[tc.seeds[0]]
@@ -235,11 +235,11 @@
 
 // The nodes that acknowledged a drain know it after a power loss, whichever node was isolated
 // before or after the first change; only the isolated node may know nothing. A run of
-// TestADrainIsKnownAfterALossOfPowerWithoutALeader under load once timed out waiting for one of the
+// TestDrainIsKnownAfterPowerLossWithoutALeader under load once timed out waiting for one of the
 // three nodes to apply a version. That node lagged behind and had acknowledged nothing: here the
 // node isolated before the first change never applies one, and the other two always know both
 // orders.
-func TestTheMajorityThatAcknowledgedADrainKnowsIt(t *testing.T) {
+func TestMajorityThatAcknowledgedADrainKnowsIt(t *testing.T) {
 	for cut := range 3 {
 		for _, late := range []bool{false, true} {
 			is := is.New(t)
--- a/src/feed/feed_test.go
+++ b/src/feed/feed_test.go
@@ -31,9 +31,9 @@
 	})
 }
 
-// TestANodeWithoutMembersAcknowledgesNoLeaving guards against such a node counting itself as a
+// TestNodeWithoutMembersAcknowledgesNoDeparture guards against such a node counting itself as a
 // majority.
-func TestANodeWithoutMembersAcknowledgesNoLeaving(t *testing.T) {
+func TestNodeWithoutMembersAcknowledgesNoDeparture(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
 	n.nodes[0].outside.Store(true)
@@ -112,10 +112,10 @@
 	}
 }
 
-// TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain guards against advancing the version before
+// TestFailedConfigurationIsFetchedAgain guards against advancing the version before
 // the configuration is applied: one that failed once was never fetched again, and the gateway kept
 // using the previous one.
-func TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain(t *testing.T) {
+func TestFailedConfigurationIsFetchedAgain(t *testing.T) {
 	n := newTestNet(t, 1)
 	n.nodes[0].setDocument(4, "four")
 	s := &recordingSink{rejections: 2}
@@ -164,9 +164,9 @@
 	is.Equal(n.nodes[1].usage.Load(), int64(6))
 }
 
-// TestASlowFetchIsNoLostNode checks that a configuration that takes long to fetch comes into force,
+// TestSlowFetchDoesNotDisconnectTheNode checks that a configuration that takes long to fetch comes into force,
 // and that the node counts as connected in the meantime.
-func TestASlowFetchIsNoLostNode(t *testing.T) {
+func TestSlowFetchDoesNotDisconnectTheNode(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	n.nodes[0].slow.Store(int64(700 * time.Millisecond))
--- a/src/feed/relay_test.go
+++ b/src/feed/relay_test.go
@@ -59,9 +59,9 @@
 	})
 }
 
-// TestAFrozenControlNodeIsReplaced checks that another node is followed while the zone's own is
+// TestSilentControlNodeIsReplaced checks that another node is followed while the zone's own is
 // silent, and only the own one after it has recovered.
-func TestAFrozenControlNodeIsReplaced(t *testing.T) {
+func TestSilentControlNodeIsReplaced(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	cut := &fault.Cut{}
 	f, s := n.newGateway("z", cut)
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestAControlNodeThatIsCutOffIsNotTheOnlyOne covers a gateway that reaches its zone's node while
+// TestCutOffControlNodeIsNotFollowedAlone covers a gateway that reaches its zone's node while
 // that node can't reach the others.
-func TestAControlNodeThatIsCutOffIsNotTheOnlyOne(t *testing.T) {
+func TestCutOffControlNodeIsNotFollowedAlone(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	_, s := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
@@ -94,9 +94,9 @@
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestAControlNodeWithoutMembersIsNotTheOnlyOne covers a node that has lost its disk and has not
+// TestControlNodeWithoutMembersIsNotFollowedAlone covers a node that has lost its disk and has not
 // been readmitted yet.
-func TestAControlNodeWithoutMembersIsNotTheOnlyOne(t *testing.T) {
+func TestControlNodeWithoutMembersIsNotFollowedAlone(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	n.nodes[2].outside.Store(true)
 	n.newGateway("z", nil)
@@ -124,9 +124,9 @@
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestAZoneThatIsCutOffGoesOn checks that a gateway that reaches only its own zone's node keeps
+// TestCutOffZoneKeepsItsControlNode checks that a gateway that reaches only its own zone's node keeps
 // following it.
-func TestAZoneThatIsCutOffGoesOn(t *testing.T) {
+func TestCutOffZoneKeepsItsControlNode(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	others := []string{n.nodes[0].server.Address(), n.nodes[1].server.Address()}
 	cut := &fault.Cut{}
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestAControlNodeThatLagsIsNotTheOnlyOne checks that a configuration that other nodes have applied
+// TestLaggingControlNodeIsNotFollowedAlone checks that a configuration that other nodes have applied
 // comes into force although the own zone's node does not receive it.
-func TestAControlNodeThatLagsIsNotTheOnlyOne(t *testing.T) {
+func TestLaggingControlNodeIsNotFollowedAlone(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	_, s := n.newGateway("z", nil)
 	eventually(t, "the node of its zone is followed", n.onlyFollows(2))
@@ -156,9 +156,9 @@
 	})
 }
 
-// TestAControlNodeThatLagsPassesOnWhatAnotherHasApplied covers a node without a leader, which never
+// TestLaggingControlNodeServesPeerConfiguration covers a node without a leader, which never
 // receives the configuration by consensus, and gateways that reach no other node.
-func TestAControlNodeThatLagsPassesOnWhatAnotherHasApplied(t *testing.T) {
+func TestLaggingControlNodeServesPeerConfiguration(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	cut := &fault.Cut{}
 	f, s := n.newGateway("z", cut)
@@ -201,9 +201,9 @@
 	}
 }
 
-// TestGatewaysThatWereToldTheSameAreSentTheSame checks that an update is encoded once for all
+// TestUpdateIsEncodedOncePerState checks that an update is encoded once for all
 // gateways in the same state.
-func TestGatewaysThatWereToldTheSameAreSentTheSame(t *testing.T) {
+func TestUpdateIsEncodedOncePerState(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	r := n.nodes[0].relay
@@ -226,9 +226,9 @@
 	is.Equal(len(update.Standings[0].Record.InMemory), 0) // only placement needs it
 }
 
-// TestTellReachesEveryGatewayOfANode checks that Broadcast reaches a gateway that follows the node, and
+// TestBroadcastReachesEveryGatewayOfANode checks that Broadcast reaches a gateway that follows the node, and
 // that one that has left is forgotten.
-func TestTellReachesEveryGatewayOfANode(t *testing.T) {
+func TestBroadcastReachesEveryGatewayOfANode(t *testing.T) {
 	n := newTestNet(t, 1)
 	received := make(chan wire.Backlogs, 16)
 	cut := &fault.Cut{}
--- a/src/feed/selection_test.go
+++ b/src/feed/selection_test.go
@@ -58,10 +58,10 @@
 	{Address: "192.0.2.1:1"}, {Address: "192.0.2.2:1"}, {Address: "192.0.2.3:1"}, {Address: "192.0.2.4:1"}, {Address: "192.0.2.5:1"},
 }
 
-// TestAStartingGatewayAsksOneControlNodeAfterTheOther guards against all gateways following all
+// TestStartingGatewayFollowsControlNodesOneByOne guards against all gateways following all
 // control nodes at once after a power loss, which kept these busy with streams instead of electing
 // a leader.
-func TestAStartingGatewayAsksOneControlNodeAfterTheOther(t *testing.T) {
+func TestStartingGatewayFollowsControlNodesOneByOne(t *testing.T) {
 	is := is.New(t)
 	f := newDisconnectedGateway(t, fiveNodes...)
 	now := time.Unix(1_800_000_000, 0)
--- a/src/placer/bucket_test.go
+++ b/src/placer/bucket_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestLoadsKeepTheStoresBoundAcrossHolders checks that no window of 5 s has more loads than 1.1
+// TestStoreLoadRateHoldsAcrossLeaders checks that no window of 5 s has more loads than 1.1
 // times the rate plus three, also if a holder and, one lease later, its successor load as early as
 // they may.
-func TestLoadsKeepTheStoresBoundAcrossHolders(t *testing.T) {
+func TestStoreLoadRateHoldsAcrossLeaders(t *testing.T) {
 	const window, lease, step = 5 * time.Second, 3 * time.Second, 50 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 25).Draw(t, "loads a second")
--- a/src/placer/forecast_test.go
+++ b/src/placer/forecast_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTheModelsBehindTheBusyRunAreExpectedNext(t *testing.T) {
+func TestModelsAfterBusyOnesAreForecast(t *testing.T) {
 	is := is.New(t)
 	got := forecast([]float64{0, 2, 1, 1, 1, 0, 0, 0, 0.1})
 	is.True(got[5] > 0.3 && got[6] > 0.3) // half as many as there are busy models
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestDemandBringsCopiesAndKeepsTheLastOfOthers(t *testing.T) {
+func TestDemandAddsCopiesAndKeepsLastCopies(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m3", "m4", "m0"), newFakeReplica("c", e, "m0", "m1", "m2"))
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestANewHolderKeepsApartFromTheOldOne(t *testing.T) {
+func TestNewLeaderWaitsForTheOldLease(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e))
@@ -152,7 +152,7 @@
 	is.Equal(len(sim.orders), 1)
 }
 
-func TestAnOrderIsNotSentOnceLeadershipIsGone(t *testing.T) {
+func TestNoOrderIsSentAfterLossOfLeadership(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e))
@@ -168,10 +168,10 @@
 	is.Equal(len(sim.orders), 0)
 }
 
-// TestRoomIsNeverOvercommitted checks that no replica is ordered to hold more than it has room for,
+// TestMemoryIsNeverOvercommitted checks that no replica is ordered to hold more than it has room for,
 // and that loads from the store keep to their rate, whatever happens to orders, whichever adapters
 // are in use and whoever leads.
-func TestRoomIsNeverOvercommitted(t *testing.T) {
+func TestMemoryIsNeverOvercommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := testEngine()
 		var fakes []*fakeReplica
@@ -307,10 +307,10 @@
 	is.True(next.models["m0"] != nil)
 }
 
-// TestWhatADrainedZoneHeldComesElsewhere checks that the models of a drained zone are loaded
+// TestModelsOfDrainedZoneAreLoadedElsewhere checks that the models of a drained zone are loaded
 // elsewhere at the store's rate and nothing is ordered in the zone, and that no model is loaded
 // there when the drain ends.
-func TestWhatADrainedZoneHeldComesElsewhere(t *testing.T) {
+func TestModelsOfDrainedZoneAreLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	e.WeightsMB, e.LoadsPerSecond = 500, 1
@@ -342,10 +342,10 @@
 	return slices.ContainsFunc(f.held(), func(h registry.LoadedModel) bool { return h.Name == model })
 }
 
-// TestWhatIsAskedForHasACopyInTheEnd checks that, with room for every requested model, all of them
+// TestEveryRequestedModelGetsACopy checks that, with room for every requested model, all of them
 // are served soon after the demand has changed, whatever was loaded before, and that none is loaded
 // twice as long as it is requested.
-func TestWhatIsAskedForHasACopyInTheEnd(t *testing.T) {
+func TestEveryRequestedModelGetsACopy(t *testing.T) {
 	const models, places = 14, 9
 	rapid.Check(t, func(t *rapid.T) {
 		e := testEngine()
--- a/src/raft/durable_test.go
+++ b/src/raft/durable_test.go
@@ -23,9 +23,9 @@
 	return nil, Ready{}, now
 }
 
-// TestVotesAreAskedForOnceTheOwnOneIsDurable: a candidate must not send vote requests or count votes before
+// TestOwnVoteIsDurableBeforeVoteRequests: a candidate must not send vote requests or count votes before
 // its own vote is durable.
-func TestVotesAreAskedForOnceTheOwnOneIsDurable(t *testing.T) {
+func TestOwnVoteIsDurableBeforeVoteRequests(t *testing.T) {
 	is := is.New(t)
 	c, write, now := newCandidate(t)
 	is.Equal(*write.HardState, HardState{Term: 4, Vote: "a", Commit: 3})
@@ -36,9 +36,9 @@
 	is.Equal(c.Role(), Leader) // counts the vote that arrived early
 }
 
-// TestAHostSuspendedDuringAWriteIsACandidateAgainSoon: a write across a suspension seems to have taken an
+// TestSuspensionDuringWriteDoesNotDelayElection: a write across a suspension seems to have taken an
 // hour. This must not delay the next election, since the disk need not be slow.
-func TestAHostSuspendedDuringAWriteIsACandidateAgainSoon(t *testing.T) {
+func TestSuspensionDuringWriteDoesNotDelayElection(t *testing.T) {
 	is := is.New(t)
 	c, write, now := newCandidate(t)
 	now = now.Add(time.Hour)
@@ -118,9 +118,9 @@
 	is.Equal(len(s.pending), 0)
 }
 
-// TestEntriesReplacedDuringTheirWriteAreWrittenAgain: the end of a write must not mark entries as durable that
+// TestEntriesReplacedDuringWriteAreRewritten: the end of a write must not mark entries as durable that
 // replaced the written ones during the write.
-func TestEntriesReplacedDuringTheirWriteAreWrittenAgain(t *testing.T) {
+func TestEntriesReplacedDuringWriteAreRewritten(t *testing.T) {
 	is := is.New(t)
 	c := restartedCore(3, 3)
 	c.Step(startTime, Message{Kind: MsgAppend, From: "b", To: "a", Term: 3, Index: 3, LogTerm: 3, Entries: []Entry{{Term: 3, Index: 4}, {Term: 3, Index: 5}}})
--- a/src/rebalance/plan_test.go
+++ b/src/rebalance/plan_test.go
@@ -39,10 +39,10 @@
 	return Model{Name: name, Footprint: footprint, Work: work}
 }
 
-// TestALostModelComesByWhatWaitsForIt checks when a model without a copy gets one: before a further
+// TestModelWithoutCopyIsLoadedByDemand checks when a model without a copy gets one: before a further
 // copy of a busy model if requests wait for it, after it if there are none, but in the end however
 // busy the other models are.
-func TestALostModelComesByWhatWaitsForIt(t *testing.T) {
+func TestModelWithoutCopyIsLoadedByDemand(t *testing.T) {
 	is := is.New(t)
 	in := Input{
 		Models:        []Model{model("busy", 1), model("lost", 0.6)},
@@ -116,10 +116,10 @@
 	is.Equal(out.Unplaced, []string{"m"})
 }
 
-// TestAnIdleModelMakesWayForALostBusyOne checks that an idle model's last copy is evicted for a
+// TestIdleModelIsEvictedForBusyOneWithoutCopy checks that an idle model's last copy is evicted for a
 // busy model without a copy only if no model has a spare copy, and that the passage of time alone
 // does not reverse this.
-func TestAnIdleModelMakesWayForALostBusyOne(t *testing.T) {
+func TestIdleModelIsEvictedForBusyOneWithoutCopy(t *testing.T) {
 	is := is.New(t)
 	in := Input{
 		Models:        []Model{model("busy", 2), model("idle", 0.01), model("other", 0.01)},
@@ -197,9 +197,9 @@
 	return other.RequestsWaited || !fromStore && wait <= time.Second
 }
 
-// TestMovesKeepEveryModelAndFit checks that, in any state, no move evicts a model's last ready copy
+// TestMovesKeepLastCopiesAndFit checks that, in any state, no move evicts a model's last ready copy
 // unless the model is idle, overfills a server or exceeds the number of store loads allowed.
-func TestMovesKeepEveryModelAndFit(t *testing.T) {
+func TestMovesKeepLastCopiesAndFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		left := map[string]int{}
@@ -232,8 +232,8 @@
 	})
 }
 
-// TestPlansComeToRest checks that repeated plans under the same demand come to an end.
-func TestPlansComeToRest(t *testing.T) {
+// TestRepeatedPlansConverge checks that repeated plans under the same demand come to an end.
+func TestRepeatedPlansConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		in.MaxStoreLoads = 4
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -69,9 +69,9 @@
 	is.True(!d.Entries()[0].Usable())
 }
 
-// TestLeavingIsNeverTakenBack checks that a replica once reported as leaving stays so, whatever the
+// TestLeavingIsNeverRevoked checks that a replica once reported as leaving stays so, whatever the
 // order and the nodes through which its heartbeats arrive.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverRevoked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*Table{NewTable(times), NewTable(times), NewTable(times)}
 		d := NewDirectory(time.Hour)
@@ -109,9 +109,9 @@
 	})
 }
 
-// TestChangesAndStandingsTellTheSame checks that applying every change and following by stamps at
+// TestChangesAndStatusesAgree checks that applying every change and following by stamps at
 // arbitrary times both end with the directory's state.
-func TestChangesAndStandingsTellTheSame(t *testing.T) {
+func TestChangesAndStatusesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, follower := NewDirectory(time.Hour), NewDirectory(time.Hour)
 		kept := map[string]Entry{}
@@ -171,10 +171,10 @@
 	}
 }
 
-// TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress covers a process that has just started
+// TestLateHeartbeatOfDeadIncarnationLosesTheAddress covers a process that has just started
 // to receive updates and processes the dead incarnation's heartbeat last. The running incarnation
 // must get its address back once the other one is silent.
-func TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress(t *testing.T) {
+func TestLateHeartbeatOfDeadIncarnationLosesTheAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
 	alive, dead := Record{ID: "i-new", Address: "10.0.0.1:80"}, Record{ID: "i-old", Address: "10.0.0.1:80"}
--- a/src/wire/inventory_test.go
+++ b/src/wire/inventory_test.go
@@ -28,13 +28,13 @@
 // inventoryFile is the reviewed list of all serialized fields and methods.
 const inventoryFile = "testdata/inventory.txt"
 
-// TestWhatIsWrittenIsInTheInventory detects incompatible changes of serialized data.
+// TestSerializedFieldsMatchInventory detects incompatible changes of serialized data.
 //
 // During an upgrade two builds run at the same time, and the earlier build may read a data folder written by
 // the later one. It silently misreads a renamed field, a field with another type or number, and a new
 // command. A change of such a struct must be accompanied by a description in docs/design/upgrades.md of how
 // earlier and later builds handle it, and by an update of the list with UPDATE_INVENTORY=1.
-func TestWhatIsWrittenIsInTheInventory(t *testing.T) {
+func TestSerializedFieldsMatchInventory(t *testing.T) {
 	got := strings.Join(inventory(t), "\n") + "\n"
 	if os.Getenv("UPDATE_INVENTORY") != "" {
 		if err := os.WriteFile(inventoryFile, []byte(got), 0o644); err != nil {
