--- a/src/admission/gate.go
+++ b/src/admission/gate.go
@@ -134,8 +134,8 @@
 	return true
 }
 
-// AwaitConfirmation waits until a version is trusted, at most as long as an expected election takes; it
-// reports whether the version is trusted.
+// AwaitConfirmation waits until a version is confirmed, at most as long as an expected election
+// takes; it reports whether the version is confirmed.
 func (g *Gate) AwaitConfirmation(ctx context.Context, version uint64) bool {
 	for {
 		if g.Confirmed(g.options.Now(), version) {
--- a/src/catalog/document.go
+++ b/src/catalog/document.go
@@ -22,8 +22,8 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// KeysRequired is set if requests need the key of a client account, even if there are no accounts.
-	// Without it there are none.
+	// KeysRequired is set if requests need the key of a client account, even if there are no
+	// accounts. Without it there are none.
 	KeysRequired bool
 	Accounts     []Account
 }
--- a/src/clock/clock_test.go
+++ b/src/clock/clock_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestClockAdvancesDuringSuspension: the clock must advance during a suspension, in which the monotonic clock of
-// package time stands still, and its times must be compared without monotonic readings.
+// TestClockAdvancesDuringSuspension: the clock must advance during a suspension, in which the monotonic
+// clock of package time stands still, and its times must be compared without monotonic readings.
 func TestClockAdvancesDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	boot := 5 * time.Second
--- a/src/control/membership.go
+++ b/src/control/membership.go
@@ -8,8 +8,8 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// MaintainMembership maintains the membership until the context ends. A node that is not a member asks to become
-// a learner, and the leader lets caught-up learners replace failed voters.
+// MaintainMembership maintains the membership until the context ends. A node that is not a member
+// asks to become a learner, and the leader lets caught-up learners replace failed voters.
 func (c *Cluster) MaintainMembership(ctx context.Context) {
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
--- a/src/exchange/admit.go
+++ b/src/exchange/admit.go
@@ -20,7 +20,8 @@
 	// Confirmed reports whether a configuration is confirmed recently enough to decide on requests
 	// with a key.
 	Confirmed func(now time.Time, version uint64) bool
-	// AwaitConfirmation waits until the configuration is confirmed, as long as that is expected soon.
+	// AwaitConfirmation waits until the configuration is confirmed, as long as that is expected
+	// soon.
 	AwaitConfirmation func(ctx context.Context, version uint64) bool
 	// Now is the clock of grants and confirmations. It counts while the host is suspended.
 	Now func() time.Time
--- a/src/exchange/codec.go
+++ b/src/exchange/codec.go
@@ -100,8 +100,8 @@
 	EncodeRequest func(header http.Header, facts RequestInfo, attempt Attempt)
 	// Reply decodes the head of a replica's response.
 	Reply func(status int, header http.Header) Reply
-	// ReservedHeaders lists the client headers that are not passed on, in canonical form. Only the gateway
-	// may set them, and EncodeRequest sets those that an attempt needs.
+	// ReservedHeaders lists the client headers that are not passed on, in canonical form. Only the
+	// gateway may set them, and EncodeRequest sets those that an attempt needs.
 	ReservedHeaders []string
 }
 
--- a/src/exchange/handler.go
+++ b/src/exchange/handler.go
@@ -63,8 +63,8 @@
 	Now     func() time.Time
 	// Unknown is called with the unknown statements in a replica's response. It may be nil.
 	Unknown func(replica string, names []string)
-	// MaxRetainedBytes limits the buffered bytes of bodies and responses over all requests; 0 means no
-	// limit.
+	// MaxRetainedBytes limits the buffered bytes of bodies and responses over all requests; 0 means
+	// no limit.
 	MaxRetainedBytes int64
 }
 
--- a/src/feed/feed_test.go
+++ b/src/feed/feed_test.go
@@ -164,8 +164,8 @@
 	is.Equal(n.nodes[1].usage.Load(), int64(6))
 }
 
-// TestSlowFetchDoesNotDisconnectTheNode checks that a configuration that takes long to fetch comes into force,
-// and that the node counts as connected in the meantime.
+// TestSlowFetchDoesNotDisconnectTheNode checks that a configuration that takes long to fetch comes
+// into force, and that the node counts as connected in the meantime.
 func TestSlowFetchDoesNotDisconnectTheNode(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
--- a/src/feed/heartbeat.go
+++ b/src/feed/heartbeat.go
@@ -9,9 +9,9 @@
 	"github.com/moorspool/moorspool/src/wire"
 )
 
-// ApplyHeartbeat processes a replica's heartbeat and reports whether it may be acknowledged. The departure of
-// a replica is acknowledged only once a majority of control nodes has saved it, so that gateways
-// learn of it even if this node fails.
+// ApplyHeartbeat processes a replica's heartbeat and reports whether it may be acknowledged. The
+// departure of a replica is acknowledged only once a majority of control nodes has saved it, so
+// that gateways learn of it even if this node fails.
 func (p *Publisher) ApplyHeartbeat(ctx context.Context, record registry.Record) bool {
 	p.mu.Lock()
 	if rejectionReason := p.rejectionReason(&record); rejectionReason != "" {
@@ -54,8 +54,8 @@
 	return ""
 }
 
-// HandleEnd records that a replica has ended or is about to. It does so also for a replica that this
-// node does not know, since other nodes may have seen it start.
+// HandleEnd records that a replica has ended or is about to. It does so also for a replica that
+// this node does not know, since other nodes may have seen it start.
 func (p *Publisher) HandleEnd(ctx context.Context, name string) bool {
 	p.mu.Lock()
 	record, found := p.table.EndingStart(name)
--- a/src/feed/notify.go
+++ b/src/feed/notify.go
@@ -35,16 +35,16 @@
 
 // The limits of one call of CallHedged.
 const (
-	// hedgeDelay is how long CallHedged waits for an answer before it also calls another control node:
-	// longer than an answer that has to be fetched from the leader, and shorter than the first
-	// retransmission of a lost packet.
+	// hedgeDelay is how long CallHedged waits for an answer before it also calls another control
+	// node: longer than an answer that has to be fetched from the leader, and shorter than the
+	// first retransmission of a lost packet.
 	hedgeDelay = 80 * time.Millisecond
 	// maxAsked is how many control nodes CallHedged calls at most.
 	maxAsked = 3
 )
 
-// CallHedged calls the most preferred healthy control node, and further ones while there is no answer. It
-// returns the first successful reply and ignores the rest.
+// CallHedged calls the most preferred healthy control node, and further ones while there is no
+// answer. It returns the first successful reply and ignores the rest.
 func CallHedged[R any](ctx context.Context, f *Follower, method string, params any) (R, error) {
 	type answer struct {
 		reply R
@@ -94,8 +94,8 @@
 	return reply, err
 }
 
-// askOrder returns the control nodes for CallHedged to call, the most preferred ones first and connected
-// ones before others.
+// askOrder returns the control nodes for CallHedged to call, the most preferred ones first and
+// connected ones before others.
 func (f *Follower) askOrder() []*rpc.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/feed/relay.go
+++ b/src/feed/relay.go
@@ -44,8 +44,8 @@
 	quarantineChanged wakeup.Flag
 
 	mu sync.Mutex
-	// subscribers are the gateways that follow this node; the value is set while Broadcast is sending to
-	// the gateway.
+	// subscribers are the gateways that follow this node; the value is set while Broadcast is
+	// sending to the gateway.
 	subscribers map[*rpc.Peer]*atomic.Bool
 	state       relayState
 	changed     chan struct{}
--- a/src/feed/relay_test.go
+++ b/src/feed/relay_test.go
@@ -124,8 +124,8 @@
 	eventually(t, "only the node of its zone is followed again", n.onlyFollows(2))
 }
 
-// TestCutOffZoneKeepsItsControlNode checks that a gateway that reaches only its own zone's node keeps
-// following it.
+// TestCutOffZoneKeepsItsControlNode checks that a gateway that reaches only its own zone's node
+// keeps following it.
 func TestCutOffZoneKeepsItsControlNode(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	others := []string{n.nodes[0].server.Address(), n.nodes[1].server.Address()}
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestLaggingControlNodeIsNotFollowedAlone checks that a configuration that other nodes have applied
-// comes into force although the own zone's node does not receive it.
+// TestLaggingControlNodeIsNotFollowedAlone checks that a configuration that other nodes have
+// applied comes into force although the own zone's node does not receive it.
 func TestLaggingControlNodeIsNotFollowedAlone(t *testing.T) {
 	n := newZonedNet(t, "x", "y", "z")
 	_, s := n.newGateway("z", nil)
@@ -226,8 +226,8 @@
 	is.Equal(len(update.Standings[0].Record.InMemory), 0) // only placement needs it
 }
 
-// TestBroadcastReachesEveryGatewayOfANode checks that Broadcast reaches a gateway that follows the node, and
-// that one that has left is forgotten.
+// TestBroadcastReachesEveryGatewayOfANode checks that Broadcast reaches a gateway that follows the
+// node, and that one that has left is forgotten.
 func TestBroadcastReachesEveryGatewayOfANode(t *testing.T) {
 	n := newTestNet(t, 1)
 	received := make(chan wire.Backlogs, 16)
--- a/src/fleet/slots.go
+++ b/src/fleet/slots.go
@@ -63,7 +63,8 @@
 	return wire.SlotReply{Known: true, Replica: assignment.Replica, Ticket: assignment.Ticket, RetryMS: assignment.RetryAfter.Milliseconds()}
 }
 
-// handleRelease handles a release; a node that does not lead does not know the ticket and ignores it.
+// handleRelease handles a release; a node that does not lead does not know the ticket and ignores
+// it.
 func (c *controlNode) handleRelease(release wire.SlotRelease) {
 	c.dispatchers.Release(release.Service, release.Ticket, dispatch.Outcome(release.Outcome), time.Duration(release.TookMS)*time.Millisecond)
 }
--- a/src/gateway/request.go
+++ b/src/gateway/request.go
@@ -184,10 +184,10 @@
 	return nil
 }
 
-func prefixHash(want route.Requirements, prompt []byte) uint64 {
+func prefixHash(requirements route.Requirements, prompt []byte) uint64 {
 	hash := xxhash.New()
-	_, _ = hash.WriteString(want.Model)
-	_, _ = hash.WriteString(want.Adapter)
+	_, _ = hash.WriteString(requirements.Model)
+	_, _ = hash.WriteString(requirements.Adapter)
 	_, _ = hash.Write(prompt[:min(len(prompt), prefixHashBytes)])
 	return hash.Sum64()
 }
--- a/src/limit/budget.go
+++ b/src/limit/budget.go
@@ -9,8 +9,8 @@
 // initialTokens allows the first retries before any request has succeeded.
 const initialTokens = 10
 
-// RetryBudget limits retries to a fraction of the successful requests, so that failures can't multiply
-// the load. It is safe for concurrent use.
+// RetryBudget limits retries to a fraction of the successful requests, so that failures can't
+// multiply the load. It is safe for concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
 	share  float64
--- a/src/loadview/backlog.go
+++ b/src/loadview/backlog.go
@@ -16,8 +16,8 @@
 	// faults at 295 gateways took 763 s of processor time in 55 s of traffic, against 597 s in 67 s
 	// without backlogs.
 	maxBacklogInterval = 90 * time.Millisecond
-	// BacklogBatchDelay is how long a gateway or control node collects sent prompts before it reports
-	// them.
+	// BacklogBatchDelay is how long a gateway or control node collects sent prompts before it
+	// reports them.
 	BacklogBatchDelay = 5 * time.Millisecond
 	// minBacklog is the shortest backlog that is reported: a replica with less is about to be idle
 	// when the report arrives.
--- a/src/placer/order.go
+++ b/src/placer/order.go
@@ -51,8 +51,8 @@
 	Misdirected Result = "elsewhere"
 	// Invalid means that the replica could not interpret the order.
 	Invalid Result = "invalid"
-	// NoAnswer means that no answer arrived; the replica may have executed the order or may still do
-	// so.
+	// NoAnswer means that no answer arrived; the replica may have executed the order or may still
+	// do so.
 	NoAnswer Result = "lost"
 )
 
@@ -92,6 +92,7 @@
 type Calls struct {
 	// Order sends an order and returns its result, and what the answer says about further calls.
 	Order func(ctx context.Context, order Order) (Result, Availability)
-	// Report requests a report. The Availability of the returned report is valid beside an error too.
+	// Report requests a report. The Availability of the returned report is valid beside an error
+	// too.
 	Report func(ctx context.Context, replica, address string) (Report, error)
 }
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -168,9 +168,9 @@
 	is.Equal(len(sim.orders), 0)
 }
 
-// TestMemoryIsNeverOvercommitted checks that no replica is ordered to hold more than it has room for,
-// and that loads from the store keep to their rate, whatever happens to orders, whichever adapters
-// are in use and whoever leads.
+// TestMemoryIsNeverOvercommitted checks that no replica is ordered to hold more than it has room
+// for, and that loads from the store keep to their rate, whatever happens to orders, whichever
+// adapters are in use and whoever leads.
 func TestMemoryIsNeverOvercommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := testEngine()
--- a/src/quarantine/tracker.go
+++ b/src/quarantine/tracker.go
@@ -48,8 +48,8 @@
 	return last.digest == digest && now.Sub(last.at) < successTTL
 }
 
-// Tracker combines a gateway's table with its recently completed contents; it is safe for concurrent
-// use.
+// Tracker combines a gateway's table with its recently completed contents; it is safe for
+// concurrent use.
 type Tracker struct {
 	*Table
 	recentSuccesses recentSuccesses
@@ -63,8 +63,8 @@
 // TracksBody reports whether completed requests with bodies of that length are remembered.
 func (g *Tracker) TracksBody(bytes int) bool { return bytes <= maxTrackedBody || !g.Empty() }
 
-// AttributeFailure records that a replica ended while it ran requests with the given contents. It returns the
-// contents that the failure is attributed to: those that did not complete recently.
+// AttributeFailure records that a replica ended while it ran requests with the given contents. It
+// returns the contents that the failure is attributed to: those that did not complete recently.
 func (g *Tracker) AttributeFailure(now time.Time, replica string, running []Digest) []Digest {
 	var blamed []Digest
 	for _, digest := range running {
@@ -84,8 +84,8 @@
 	}
 }
 
-// MergeFromControl merges the entries sent by control nodes. A content that completed here recently is cleared
-// for all gateways, since those that recorded its failures did not know.
+// MergeFromControl merges the entries sent by control nodes. A content that completed here recently
+// is cleared for all gateways, since those that recorded its failures did not know.
 func (g *Tracker) MergeFromControl(now time.Time, entries []Entry) {
 	for _, digest := range g.Merge(now, entries) {
 		if g.recentSuccesses.contains(now, digest) {
--- a/src/quota/allocator.go
+++ b/src/quota/allocator.go
@@ -26,8 +26,8 @@
 	Rate float64
 	// Burst is the depth of the holder's bucket in units; it is not set in reports.
 	Burst float64
-	// Demand is the recently requested rate in units a second, UnitsPerRequest the mean size of these
-	// requests in units.
+	// Demand is the recently requested rate in units a second, UnitsPerRequest the mean size of
+	// these requests in units.
 	Demand          float64
 	UnitsPerRequest float64
 	// Overflow is the number of units that overflowed the holder's bucket unused.
@@ -37,8 +37,8 @@
 // Report is a holder's request to renew its shares.
 type Report struct {
 	Holder string
-	// Incarnation differs after each restart of the holder and Sequence grows with each report, so that
-	// reports that arrive out of order can be ignored.
+	// Incarnation differs after each restart of the holder and Sequence grows with each report, so
+	// that reports that arrive out of order can be ignored.
 	Incarnation uint64
 	Sequence    uint64
 	// Shares lists every share that the holder may still use, with its demand.
--- a/src/quota/parameters.go
+++ b/src/quota/parameters.go
@@ -29,8 +29,8 @@
 	minGrantTTL = 100 * time.Millisecond
 )
 
-// NewParameters returns the parameters for a window. Half of the overage is reserved for grants that are
-// still unspent.
+// NewParameters returns the parameters for a window. Half of the overage is reserved for grants
+// that are still unspent.
 func NewParameters(window time.Duration, overage, slack float64) Parameters {
 	half := time.Duration(float64(window) * overage / 2)
 	return Parameters{
--- a/src/raft/core.go
+++ b/src/raft/core.go
@@ -194,8 +194,8 @@
 	return 0
 }
 
-// LastContact returns when the latest broadcast that a member has acknowledged to this leader was sent,
-// or the zero time if there is none or this node is not the leader.
+// LastContact returns when the latest broadcast that a member has acknowledged to this leader was
+// sent, or the zero time if there is none or this node is not the leader.
 func (c *Core) LastContact(id ID) time.Time {
 	if p := c.progress[id]; p != nil {
 		return p.ackedAt
--- a/src/raft/durable.go
+++ b/src/raft/durable.go
@@ -203,7 +203,8 @@
 // WriteAge returns how long the write in flight has been running, or 0 if there is none.
 func (c *Core) WriteAge(now time.Time) time.Duration { return c.writes.age(now) }
 
-// WriteStartedAt returns when the write in flight was handed out, or the zero time if there is none.
+// WriteStartedAt returns when the write in flight was handed out, or the zero time if there is
+// none.
 func (c *Core) WriteStartedAt() time.Time {
 	if !c.writes.inFlight {
 		return time.Time{}
--- a/src/raft/durable_test.go
+++ b/src/raft/durable_test.go
@@ -23,8 +23,8 @@
 	return nil, Ready{}, now
 }
 
-// TestOwnVoteIsDurableBeforeVoteRequests: a candidate must not send vote requests or count votes before
-// its own vote is durable.
+// TestOwnVoteIsDurableBeforeVoteRequests: a candidate must not send vote requests or count votes
+// before its own vote is durable.
 func TestOwnVoteIsDurableBeforeVoteRequests(t *testing.T) {
 	is := is.New(t)
 	c, write, now := newCandidate(t)
@@ -118,8 +118,8 @@
 	is.Equal(len(s.pending), 0)
 }
 
-// TestEntriesReplacedDuringWriteAreRewritten: the end of a write must not mark entries as durable that
-// replaced the written ones during the write.
+// TestEntriesReplacedDuringWriteAreRewritten: the end of a write must not mark entries as durable
+// that replaced the written ones during the write.
 func TestEntriesReplacedDuringWriteAreRewritten(t *testing.T) {
 	is := is.New(t)
 	c := restartedCore(3, 3)
--- a/src/raft/lease.go
+++ b/src/raft/lease.go
@@ -19,9 +19,10 @@
 	return c.leaseEnd()
 }
 
-// ConfirmedAt returns the latest time at which this node, as a follower, heard from a leader and had
-// applied everything the leader had committed; or at which it was a leader for which HasReadLease held,
-// once it has stepped down. It is the zero time if there was none. For a current leader use HasReadLease.
+// ConfirmedAt returns the latest time at which this node, as a follower, heard from a leader and
+// had applied everything the leader had committed; or at which it was a leader for which
+// HasReadLease held, once it has stepped down. It is the zero time if there was none. For a current
+// leader use HasReadLease.
 func (c *Core) ConfirmedAt() time.Time { return c.confirmedAt }
 
 // confirmApplied updates confirmedAt if everything the leader last reported as committed is applied.
--- a/src/ratelimit/doc.go
+++ b/src/ratelimit/doc.go
@@ -3,10 +3,10 @@
 // their answers.
 //
 // The leader of the control nodes is the only issuer; it spaces the permits of each backend server.
-// A gateway asks for a permit for each request, waits for the permit's time and uses it within PermitTTL
-// of that time. It computes the permit's time from when it asked, not from when the answer arrived.
-// Late answers, suspended hosts and leader changes therefore add little to the number of requests
-// in any few seconds.
+// A gateway asks for a permit for each request, waits for the permit's time and uses it within
+// PermitTTL of that time. It computes the permit's time from when it asked, not from when the
+// answer arrived. Late answers, suspended hosts and leader changes therefore add little to the
+// number of requests in any few seconds.
 //
 // The issuer also keeps the limit in force, as reported by gateways with their requests for
 // permits. Reports are ordered by the permits of the requests that were answered, not by clocks.
--- a/src/ratelimit/fallback.go
+++ b/src/ratelimit/fallback.go
@@ -22,13 +22,14 @@
 // GatewayShare returns the part of a rate that one of that many gateways has without an issuer.
 func GatewayShare(gateways int) float64 { return gatewayShare / float64(max(gateways, 1)) }
 
-// FallbackIssuer issues permits for a fixed share of each rate where no issuer answers; it is safe for
-// concurrent use. Its permits have no number, so that limits in the answers to them are never taken
-// to be newer than known ones.
+// FallbackIssuer issues permits for a fixed share of each rate where no issuer answers; it is safe
+// for concurrent use. Its permits have no number, so that limits in the answers to them are never
+// taken to be newer than known ones.
 //
-// The permits of each FallbackIssuer come at fixed times with a random phase, and a permit that is not
-// used within PermitTTL is lost. Every FallbackIssuer starts at the same moment when the leader is lost: if
-// unused permits were kept, as many requests would be sent at once as there are processes.
+// The permits of each FallbackIssuer come at fixed times with a random phase, and a permit that is
+// not used within PermitTTL is lost. Every FallbackIssuer starts at the same moment when the leader
+// is lost: if unused permits were kept, as many requests would be sent at once as there are
+// processes.
 type FallbackIssuer struct {
 	// random returns a number from 0 to 1.
 	random func() float64
@@ -47,7 +48,8 @@
 	lastRequest time.Time
 }
 
-// NewFallbackIssuer returns a FallbackIssuer that has issued no permits; random returns a number from 0 to 1.
+// NewFallbackIssuer returns a FallbackIssuer that has issued no permits; random returns a number
+// from 0 to 1.
 func NewFallbackIssuer(random func() float64) *FallbackIssuer {
 	return &FallbackIssuer{random: random, servers: map[string]*slotSchedule{}}
 }
--- a/src/ratelimit/issuer.go
+++ b/src/ratelimit/issuer.go
@@ -29,8 +29,8 @@
 // Request is a gateway's request for a permit for one request.
 type Request struct {
 	Server string
-	// ColdPerSecond is the number of requests a second that a cold backend server accepts, 0 if it is not
-	// cold or has no such limit.
+	// ColdPerSecond is the number of requests a second that a cold backend server accepts, 0 if it
+	// is not cold or has no such limit.
 	ColdPerSecond float64
 	LimitReport   LimitReport
 	// MaxWait is the longest time that the request can wait; below 0 if the gateway only reports a
--- a/src/ratelimit/limitstate.go
+++ b/src/ratelimit/limitstate.go
@@ -25,8 +25,8 @@
 // LimitReport is a gateway's report of a backend server's limit.
 type LimitReport struct {
 	State
-	// FromResponse is set if the limit was read from an answer of the backend server; otherwise it is what
-	// the gateway knew before.
+	// FromResponse is set if the limit was read from an answer of the backend server; otherwise it
+	// is what the gateway knew before.
 	FromResponse bool
 	// Term and Permit identify the permit of the answered request, 0 if it had none.
 	Term, Permit uint64
--- a/src/rebalance/plan_test.go
+++ b/src/rebalance/plan_test.go
@@ -39,9 +39,9 @@
 	return Model{Name: name, Footprint: footprint, Work: work}
 }
 
-// TestModelWithoutCopyIsLoadedByDemand checks when a model without a copy gets one: before a further
-// copy of a busy model if requests wait for it, after it if there are none, but in the end however
-// busy the other models are.
+// TestModelWithoutCopyIsLoadedByDemand checks when a model without a copy gets one: before a
+// further copy of a busy model if requests wait for it, after it if there are none, but in the end
+// however busy the other models are.
 func TestModelWithoutCopyIsLoadedByDemand(t *testing.T) {
 	is := is.New(t)
 	in := Input{
@@ -116,8 +116,8 @@
 	is.Equal(out.Unplaced, []string{"m"})
 }
 
-// TestIdleModelIsEvictedForBusyOneWithoutCopy checks that an idle model's last copy is evicted for a
-// busy model without a copy only if no model has a spare copy, and that the passage of time alone
+// TestIdleModelIsEvictedForBusyOneWithoutCopy checks that an idle model's last copy is evicted for
+// a busy model without a copy only if no model has a spare copy, and that the passage of time alone
 // does not reverse this.
 func TestIdleModelIsEvictedForBusyOneWithoutCopy(t *testing.T) {
 	is := is.New(t)
--- a/src/registry/builds_test.go
+++ b/src/registry/builds_test.go
@@ -25,7 +25,8 @@
 // latestBuild is the build whose encoding equals the current one.
 const latestBuild = "595d13f"
 
-// storedRecord returns the record in all kept files. Builds without incarnations leave out Name and StartedMS.
+// storedRecord returns the record in all kept files. Builds without incarnations leave out Name and
+// StartedMS.
 func storedRecord() Record {
 	return Record{
 		ID: "i-1@1800000000123", Name: "i-1", StartedMS: 1_800_000_000_123, Service: "s", Address: "192.0.2.1:8080", Zone: "z", Version: "v1",
--- a/src/registry/record.go
+++ b/src/registry/record.go
@@ -11,8 +11,8 @@
 	ID string `json:"id"`
 	// Name is the replica's own name, "" if it equals ID.
 	Name string `json:"name,omitempty"`
-	// StartedMS is the Unix time in milliseconds at which the replica started; 0 if it does not report
-	// it.
+	// StartedMS is the Unix time in milliseconds at which the replica started; 0 if it does not
+	// report it.
 	StartedMS int64  `json:"born,omitempty"`
 	Service   string `json:"service"`
 	Address   string `json:"address"`
--- a/src/registry/table.go
+++ b/src/registry/table.go
@@ -100,7 +100,8 @@
 	return rows
 }
 
-// ApplyHeartbeat processes a replica's own heartbeat and reports whether other nodes must learn of a change.
+// ApplyHeartbeat processes a replica's own heartbeat and reports whether other nodes must learn of
+// a change.
 func (t *Table) ApplyHeartbeat(now time.Time, record Record) bool {
 	return t.apply(now, record, true)
 }
--- a/src/route/table.go
+++ b/src/route/table.go
@@ -89,7 +89,7 @@
 func (t *Table) Models() int { return len(t.models) }
 
 // Has reports whether a copy of the model or adapter is ready.
-func (t *Table) Has(want Requirements) bool { return t.find(want).len() > 0 }
+func (t *Table) Has(requirements Requirements) bool { return t.find(requirements).len() > 0 }
 
 // Requirements is what a request needs.
 type Requirements struct {
@@ -99,20 +99,20 @@
 	Pool string
 }
 
-func (t *Table) find(want Requirements) *candidates {
+func (t *Table) find(requirements Requirements) *candidates {
 	switch {
-	case want.Pool != "":
-		return t.pools[want.Pool]
-	case want.Adapter != "":
-		return t.adapters[want.Adapter]
+	case requirements.Pool != "":
+		return t.pools[requirements.Pool]
+	case requirements.Adapter != "":
+		return t.adapters[requirements.Adapter]
 	}
-	return t.models[want.Model]
+	return t.models[requirements.Model]
 }
 
-// EstimateWait estimates how long the candidates need to serve the given number of requests that wait
-// before this one.
-func (t *Table) EstimateWait(want Requirements, waiting int) time.Duration {
-	c := t.find(want)
+// EstimateWait estimates how long the candidates need to serve the given number of requests that
+// wait before this one.
+func (t *Table) EstimateWait(requirements Requirements, waiting int) time.Duration {
+	c := t.find(requirements)
 	var slots, serviceTime int64
 	for i := 0; i < c.len(); i++ {
 		h := c.at(i)
--- a/src/testseed/testseed.go
+++ b/src/testseed/testseed.go
@@ -9,7 +9,8 @@
 
 const defaultSeed = "20261202"
 
-// RandomSeedEnv is the environment variable that selects random seeds; rapid prints the seed of a failure.
+// RandomSeedEnv is the environment variable that selects random seeds; rapid prints the seed of a
+// failure.
 const RandomSeedEnv = "MOORSPOOL_SOAK"
 
 // SetFixedSeed sets rapid's flags. It must be called from the init function of a test package.
--- a/src/wire/method.go
+++ b/src/wire/method.go
@@ -20,7 +20,8 @@
 	MethodGrant = "control.grant"
 	// MethodHeartbeat reports to the control nodes that a process is alive.
 	MethodHeartbeat = "control.heartbeat"
-	// MethodLiveNodes tells the leader which processes a control node receives heartbeats from (notification).
+	// MethodLiveNodes tells the leader which processes a control node receives heartbeats from
+	// (notification).
 	MethodLiveNodes = "control.seen"
 	// MethodMembers changes the membership of the control nodes.
 	MethodMembers = "control.members"
@@ -59,8 +60,8 @@
 	MethodLoadSum = "load.sum"
 	// MethodSentPrompts tells a control node which prompts a gateway has sent to replicas (notification).
 	MethodSentPrompts = "load.sent"
-	// MethodSentPromptsSum tells another control node which prompts a control node's gateways have sent to replicas
-	// (notification).
+	// MethodSentPromptsSum tells another control node which prompts a control node's gateways have sent to
+	// replicas (notification).
 	MethodSentPromptsSum = "load.sentSum"
 	// MethodBacklogs tells a gateway the prompt backlogs of replicas (notification).
 	MethodBacklogs = "load.backlogs"
--- a/src/wire/permit.go
+++ b/src/wire/permit.go
@@ -12,9 +12,9 @@
 	Priority int   `json:"p,omitempty"`
 	// Warm is set if the replica is not cold. Earlier builds do not set it and ask only for cold replicas.
 	Warm bool `json:"m,omitempty"`
-	// Limited and PerSecond are the replica's limit. FromResponse is set if the limit comes from a response of the
-	// replica that no issuer knows of yet. Term and Permit then identify the permit of the request that got
-	// this response.
+	// Limited and PerSecond are the replica's limit. FromResponse is set if the limit comes from a response
+	// of the replica that no issuer knows of yet. Term and Permit then identify the permit of the request
+	// that got this response.
 	Limited      bool    `json:"l,omitempty"`
 	PerSecond    float64 `json:"n,omitempty"`
 	FromResponse bool    `json:"h,omitempty"`
