--- a/src/capacity/measure.go
+++ b/src/capacity/measure.go
@@ -304,7 +304,7 @@
 	}
 	objects := []config.Object{
 		{Key: config.Key{Kind: config.KindPool, Name: "load-pool"}, Pool: &pool},
-		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: config.WeighAttainment, Store: config.Store{LoadsPerSecond: 400, FullSpeed: 1000}}},
+		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Objective: config.ObjectiveAttainment, Store: config.Store{LoadsPerSecond: 400, FullSpeed: 1000}}},
 	}
 	for i := from; i < to; i++ {
 		name := fmt.Sprint("load-", i)
@@ -379,7 +379,7 @@
 				var reply wire.ClaimReply
 				request := wire.ClaimRequest{Key: fmt.Sprint("capacity-key-", n), Token: fmt.Sprint(n), Holder: "capacity"}
 				err := m.controlNodes[n%len(m.controlNodes)].Call(ctx, wire.MethodClaim, request, &reply)
-				if err == nil && reply.State != wire.ClaimYours {
+				if err == nil && reply.State != wire.ClaimAcquired {
 					err = errors.Errorf("a claim was %s %s", reply.Outcome, reply.State)
 				}
 				if err != nil {
--- a/src/control/cluster_test.go
+++ b/src/control/cluster_test.go
@@ -97,7 +97,7 @@
 		_ = n.node.Run(ctx)
 		close(n.ended)
 	}()
-	go n.cluster.Tend(ctx)
+	go n.cluster.MaintainMembership(ctx)
 	tc.nodes[address] = n
 	return n
 }
@@ -165,7 +165,7 @@
 	is.Equal(len(tc.voters(first)), 3)
 }
 
-func TestAcceptedDocumentOutlivesTheDeathOfAll(t *testing.T) {
+func TestAcceptedDocumentSurvivesRestartOfAllNodes(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	folders := map[string]string{}
@@ -204,7 +204,7 @@
 	is.True(!alone.cluster.Read(context.Background()).Known)
 }
 
-func TestFoundersAreKeptThoughSeedsChange(t *testing.T) {
+func TestFoundersAreKeptWhenSeedsChange(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.put(tc.nodes[tc.seeds[0]], 5, "five")
 	seeds := tc.seeds
@@ -299,7 +299,7 @@
 
 // A caller that asks right after the election, before anything else ran, must not be told that the
 // node has led since the zero time.
-func TestALeaderKnowsSinceWhenAtOnce(t *testing.T) {
+func TestNewLeaderKnowsItsElectionTime(t *testing.T) {
 	is := is.New(t)
 	tc := newTestCluster(t, 1)
 	n := tc.nodes[tc.seeds[0]]
@@ -336,7 +336,7 @@
 
 // leadingCore returns a core that leads a membership of up to five voters, including b#0 and c#0.
 func leadingCore(now time.Time, members raft.Members) *raft.Core {
-	start := raft.Start{HardState: raft.HardState{}, Snapshot: raft.Snapshot{Members: members}}
+	start := raft.InitialState{HardState: raft.HardState{}, Snapshot: raft.Snapshot{Members: members}}
 	core := raft.New("a#0", start, raft.DefaultOptions(), rand.New(rand.NewPCG(1, 1)), now.Add(-2*time.Second))
 	core.Tick(now.Add(-time.Millisecond))
 	for _, kind := range []raft.MessageKind{raft.MsgPreVoteReply, raft.MsgVoteReply} {
--- a/src/control/slow_disk_test.go
+++ b/src/control/slow_disk_test.go
@@ -21,7 +21,7 @@
 	members := raft.Members{Voters: []raft.ID{"a#0", "b#0", "c#0"}}
 	nodes = map[raft.ID]*Node{}
 	for i, id := range members.Voters {
-		disk := &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: members}}}
+		disk := &simDisk{start: raft.InitialState{Snapshot: raft.Snapshot{Members: members}}}
 		save := func(state *raft.HardState, entries []raft.Entry) error {
 			if state != nil || len(entries) > 0 {
 				time.Sleep(pause(id))
@@ -50,7 +50,7 @@
 // it.
 func clusterOfOne(t *testing.T, sync time.Duration) (c *Cluster, stop func()) {
 	t.Helper()
-	disk := &simDisk{start: raft.Start{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}}
+	disk := &simDisk{start: raft.InitialState{Snapshot: raft.Snapshot{Members: raft.Members{Voters: []raft.ID{"a#0"}}}}}
 	save := func(state *raft.HardState, entries []raft.Entry) error {
 		time.Sleep(sync)
 		return disk.save(state, entries)
@@ -110,7 +110,7 @@
 // settle the change, whose sync outlasted the call again. In a soak test with such disks no version
 // was acknowledged in 170 s, although gateways acted on them; this test failed in the same way with
 // 12 copies of each change.
-func TestAChangeIsAcknowledgedThoughASyncOutlastsItsCalls(t *testing.T) {
+func TestChangeIsAcknowledgedWhenASyncOutlastsItsCalls(t *testing.T) {
 	is := is.New(t)
 	cluster, stop := clusterOfOne(t, forwardTimeout+150*time.Millisecond)
 	defer stop()
@@ -130,7 +130,7 @@
 
 // The first copy of a change must be acknowledged if its caller waits long enough, rather than be
 // reported as unknown.
-func TestACallThatWaitsIsAnsweredOnceItsSyncsAreDone(t *testing.T) {
+func TestFirstCopyIsAcknowledgedOnceItsSyncsAreDone(t *testing.T) {
 	is := is.New(t)
 	cluster, stop := clusterOfOne(t, forwardTimeout+150*time.Millisecond)
 	defer stop()
--- a/src/exchange/backoff_test.go
+++ b/src/exchange/backoff_test.go
@@ -17,7 +17,7 @@
 	"github.com/moorspool/moorspool/src/testseed"
 )
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 func accepted(i *backoffState, now time.Time) bool {
 	_, accepted := i.accepts(now)
@@ -127,7 +127,7 @@
 	is.True(f.admit(peer))
 	f.applyReply(peer, &Reply{NotRun: true})
 	is.True(!f.admit(peer))
-	f.applyReply(peer, &Reply{NotRun: true, Elsewhere: true}) // it accepted the request but lacks the model
+	f.applyReply(peer, &Reply{NotRun: true, Misdirected: true}) // it accepted the request but lacks the model
 	is.True(f.admit(peer))
 	is.True(f.admit(peer))
 }
@@ -152,8 +152,8 @@
 	now := noon
 	f := NewFleet("z", Dial, nil, func() time.Time { return now }, func() time.Time { return now })
 	entry := func(born int64) registry.Entry {
-		id := registry.Incarnation{Name: "i", Born: born}.ID()
-		return registry.Entry{Record: registry.Record{ID: id, Name: "i", Born: born, Service: "s", Address: "192.0.2.1:1", Zone: "z", Slots: 4}}
+		id := registry.Incarnation{Name: "i", StartedMS: born}.ID()
+		return registry.Entry{Record: registry.Record{ID: id, Name: "i", StartedMS: born, Service: "s", Address: "192.0.2.1:1", Zone: "z", Slots: 4}}
 	}
 	f.SetReplicas(registry.Changes{Entries: []registry.Entry{entry(1)}})
 	earlier := f.Peer("i@1")
@@ -192,9 +192,9 @@
 		f.SetReplicas(registry.Changes{Removed: []string{id}})
 	}
 	is.Equal(len(f.unlisted), maxUnlistedStates)
-	f.Tidy(noon.Add(unlistedStateTTL))
+	f.Expire(noon.Add(unlistedStateTTL))
 	is.Equal(len(f.unlisted), maxUnlistedStates)
-	f.Tidy(noon.Add(unlistedStateTTL + time.Second))
+	f.Expire(noon.Add(unlistedStateTTL + time.Second))
 	is.Equal(len(f.unlisted), 0)
 }
 
@@ -216,7 +216,7 @@
 	f.applyReply(peer, &Reply{NotRun: true})
 	f.applyReply(peer, &Reply{})
 	f.applyReply(peer, &Reply{})
-	f.applyReply(peer, &Reply{BackoffFault: "neither seconds nor a date: \"x\""})
+	f.applyReply(peer, &Reply{BackoffParseError: "neither seconds nor a date: \"x\""})
 	f.applyReply(peer, &Reply{Leaving: true})
 	f.applyReply(peer, &Reply{Leaving: true})
 	backingOff, leaving = f.BackingOff()
@@ -228,7 +228,7 @@
 			kinds = append(kinds, e.Kind)
 		}
 	}
-	is.Equal(kinds, []event.Kind{event.BackoffAsked, event.BackoffOver, event.BackoffAsked, event.LeavingTold})
+	is.Equal(kinds, []event.Kind{event.BackoffAsked, event.BackoffOver, event.BackoffAsked, event.ShutdownAnnounced})
 }
 
 // TestRequestWaitsForShortBackoff: the request is served without a refusal.
@@ -296,8 +296,8 @@
 func (w *backoffWorld) restart(i int) {
 	w.now = w.now.Add(time.Millisecond)
 	born := w.now.UnixMilli()
-	incarnation := registry.Incarnation{Name: fmt.Sprint("i", i), Born: born}
-	record := registry.Record{ID: incarnation.ID(), Name: incarnation.Name, Born: born, Service: "s", Address: fmt.Sprint("192.0.2.1:", i+1), Zone: "z", Slots: 4}
+	incarnation := registry.Incarnation{Name: fmt.Sprint("i", i), StartedMS: born}
+	record := registry.Record{ID: incarnation.ID(), Name: incarnation.Name, StartedMS: born, Service: "s", Address: fmt.Sprint("192.0.2.1:", i+1), Zone: "z", Slots: 4}
 	start := &backoffIncarnation{entry: registry.Entry{Record: record}, askedAt: map[int]time.Time{}, until: map[int]time.Time{}, sentWithin: map[int]int{}, announcedAt: map[int]time.Time{}}
 	before := w.incarnations[i]
 	w.incarnations[i] = start
@@ -323,7 +323,7 @@
 		start.leaving = true
 	case 2:
 		f.SetReplicas(registry.Changes{Removed: []string{start.entry.Record.ID}})
-		f.Tidy(w.now)
+		f.Expire(w.now)
 		f.SetReplicas(registry.Changes{Entries: []registry.Entry{start.entry}})
 	case 3:
 		// A late response of an earlier incarnation.
--- a/src/exchange/fake_test.go
+++ b/src/exchange/fake_test.go
@@ -46,19 +46,19 @@
 
 func testCodec() Codec {
 	return Codec{
-		Facts: func(r *http.Request) Facts {
+		RequestInfo: func(r *http.Request) RequestInfo {
 			ms, _ := strconv.Atoi(r.Header.Get(testDeadline))
 			tokens, _ := strconv.Atoi(r.Header.Get(testTokens))
-			return Facts{OutputTokens: tokens, ID: r.Header.Get(testID), Model: r.Header.Get(testModel), Deadline: time.Duration(ms) * time.Millisecond, ResumeAfter: r.Header.Get(testAfter), Key: catalog.Key(r.Header.Get(testKey))}
+			return RequestInfo{OutputTokens: tokens, ID: r.Header.Get(testID), Model: r.Header.Get(testModel), Deadline: time.Duration(ms) * time.Millisecond, ResumeAfter: r.Header.Get(testAfter), Key: catalog.Key(r.Header.Get(testKey))}
 		},
-		Prepare: func(header http.Header, _ Facts, a Attempt) {
+		EncodeRequest: func(header http.Header, _ RequestInfo, a Attempt) {
 			header.Set(testReplica, a.Replica)
 			header.Set(testDeadline, strconv.FormatInt(a.Remaining.Milliseconds(), 10))
 			if a.Backup != "" {
 				header.Set(testBackup, a.Backup)
 			}
-			if a.Continue != "" {
-				header.Set(testContinue, a.Continue)
+			if a.ContinueFrom != "" {
+				header.Set(testContinue, a.ContinueFrom)
 			}
 			if a.Account != "" {
 				header.Set(testAccount, a.Account)
@@ -73,12 +73,12 @@
 			limit, err := strconv.ParseFloat(header.Get(testLimit), 64)
 			return Reply{
 				Cold:  time.Duration(cold) * time.Millisecond,
-				Limit: RateLimit{Named: err == nil, PerSecond: limit},
-				ID:    header.Get(testID), NotRun: header.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest, Elsewhere: status == http.StatusMisdirectedRequest,
+				Limit: RateLimit{Valid: err == nil, PerSecond: limit},
+				ID:    header.Get(testID), NotRun: header.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest, Misdirected: status == http.StatusMisdirectedRequest,
 				Backoff: time.Duration(ms) * time.Millisecond, Leaving: header.Get(testLeaving) != "",
 			}
 		},
-		Replace: []string{testReplica, testDeadline, testAfter, testKey, testAccount},
+		ReservedHeaders: []string{testReplica, testDeadline, testAfter, testKey, testAccount},
 	}
 }
 
@@ -218,8 +218,8 @@
 	return true
 }
 
-func newTestGuard() *quarantine.Guard {
-	return quarantine.NewGuard(quarantine.NewTable(func(quarantine.Change) {}))
+func newTestTracker() *quarantine.Tracker {
+	return quarantine.NewTracker(quarantine.NewTable(func(quarantine.Change) {}))
 }
 
 // bench is a handler in front of fake replicas.
@@ -240,8 +240,8 @@
 	b.fleet = NewFleet("z", Dial, nil, time.Now, time.Now)
 	b.handler = NewHandler(Options{
 		Codec: testCodec(), Fleet: b.fleet, Budget: BudgetLimits{Ratio: 1, Extra: 100, Window: 10 * time.Second},
-		Guard:  newTestGuard(),
-		Demand: b.demand, Metrics: NewMetrics(metric.New("test")), Now: time.Now,
+		Tracker: newTestTracker(),
+		Demand:  b.demand, Metrics: NewMetrics(metric.New("test")), Now: time.Now,
 	})
 	b.handler.SetTable(catalog.NewTable(catalog.Document{Version: 1, Routes: []catalog.Route{r}, Services: testServices()}))
 	b.register(replicas...)
@@ -253,7 +253,7 @@
 func (b *bench) register(replicas ...*fakeReplica) {
 	var entries []registry.Entry
 	for _, f := range replicas {
-		entries = append(entries, registry.Entry{Record: registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: f.zone, ColdMS: f.coldMS, Slots: 4, Models: []registry.Held{{Name: "m"}}}})
+		entries = append(entries, registry.Entry{Record: registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: f.zone, ColdMS: f.coldMS, Slots: 4, Models: []registry.LoadedModel{{Name: "m"}}}})
 	}
 	b.fleet.SetReplicas(registry.Changes{Entries: entries})
 }
--- a/src/exchange/replicastate.go
+++ b/src/exchange/replicastate.go
@@ -90,7 +90,7 @@
 func (f *Fleet) applyReply(peer *Peer, reply *Reply) {
 	if reply.Leaving && peer.backoffState.noteLeaving() {
 		peer.pool.close()
-		f.ring.Add(event.Event{Kind: event.LeavingTold, Host: peer.ID()})
+		f.ring.Add(event.Event{Kind: event.ShutdownAnnounced, Host: peer.ID()})
 	}
 	if reply.Cold > 0 {
 		peer.markCold(f.bootNow(), reply.Cold)
@@ -102,8 +102,8 @@
 		if peer.backoffState.backOff(f.bootNow(), reply.Backoff, rand.Float64()) {
 			f.ring.Add(event.Event{Kind: event.BackoffAsked, Host: peer.ID(), Reason: fmt.Sprintf("for %s", min(reply.Backoff, maxBackoff))})
 		}
-	case reply.BackoffFault != "":
-		f.ring.Add(event.Event{Kind: event.BackoffAsked, Host: peer.ID(), Reason: "for a time that can't be read, so for none: " + reply.BackoffFault})
+	case reply.BackoffParseError != "":
+		f.ring.Add(event.Event{Kind: event.BackoffAsked, Host: peer.ID(), Reason: "for a time that can't be read, so for none: " + reply.BackoffParseError})
 	case reply.rejected():
 		// A rejection without a backoff does not show that the replica accepts requests again.
 	case peer.backoffState.restricted.Load() && peer.backoffState.noteAccepted(f.bootNow()):
--- a/src/feed/feed_test.go
+++ b/src/feed/feed_test.go
@@ -18,7 +18,7 @@
 	s := n.follow("127.0.0.1:1", n.nodes[1].server.Address())
 	for i, node := range n.nodes {
 		id := string(rune('p' + i))
-		node.publisher.Hear(context.Background(), registry.Record{ID: id, Sequence: 1})
+		node.publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: id, Sequence: 1})
 		eventually(t, "the replica that called node "+node.publisher.node+" is known", func() bool {
 			_, usable := s.usable(id)
 			return usable
@@ -31,24 +31,24 @@
 	})
 }
 
-// TestANodeWithoutMembersAcknowledgesNoLeaving guards against such a node counting itself as a
+// TestNodeWithoutMembersAcknowledgesNoDeparture guards against such a node counting itself as a
 // majority.
-func TestANodeWithoutMembersAcknowledgesNoLeaving(t *testing.T) {
+func TestNodeWithoutMembersAcknowledgesNoDeparture(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
 	n.nodes[0].outside.Store(true)
-	is.True(n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1}))
-	is.True(!n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
-	is.True(n.nodes[1].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1}))
+	is.True(!n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(n.nodes[1].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
 }
 
 func TestAnAcknowledgedDrainOutlivesTheNodeThatAcknowledgedIt(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 3)
 	for _, node := range n.nodes {
-		node.publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 1})
+		node.publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 1})
 	}
-	is.True(n.nodes[0].publisher.Hear(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(n.nodes[0].publisher.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 2, Draining: true}))
 	n.nodes[0].server.Close()
 	s := n.follow(n.nodes[1].server.Address(), n.nodes[2].server.Address())
 	eventually(t, "a gateway that starts afterwards does not use the replica", func() bool {
@@ -65,10 +65,10 @@
 	alone := n.nodes[0].publisher
 	s := n.follow(n.nodes[0].server.Address())
 	ctx := context.Background()
-	is.True(alone.Hear(ctx, registry.Record{ID: "r", Sequence: 1}))
-	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true}))
-	is.True(!alone.Hear(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when it is repeated
-	is.True(!alone.Remove(ctx, "r"))
+	is.True(alone.ApplyHeartbeat(ctx, registry.Record{ID: "r", Sequence: 1}))
+	is.True(!alone.ApplyHeartbeat(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true}))
+	is.True(!alone.ApplyHeartbeat(ctx, registry.Record{ID: "r", Sequence: 2, Draining: true})) // nor when it is repeated
+	is.True(!alone.HandleEnd(ctx, "r"))
 	eventually(t, "gateways learn of it nevertheless", func() bool {
 		known, usable := s.usable("r")
 		return known && !usable
@@ -79,8 +79,8 @@
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	p := n.nodes[0].publisher
-	is.True(p.Remove(context.Background(), "r"))
-	p.Hear(context.Background(), registry.Record{ID: "r", Sequence: 9})
+	is.True(p.HandleEnd(context.Background(), "r"))
+	p.ApplyHeartbeat(context.Background(), registry.Record{ID: "r", Sequence: 9})
 	s := n.follow(n.nodes[0].server.Address())
 	eventually(t, "a late heartbeat does not restore it", func() bool {
 		known, usable := s.usable("r")
@@ -112,10 +112,10 @@
 	}
 }
 
-// TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain guards against advancing the version before
+// TestFailedConfigurationIsFetchedAgain guards against advancing the version before
 // the configuration is applied: one that failed once was never fetched again, and the gateway kept
 // using the previous one.
-func TestAConfigurationThatCouldNotBeTakenInIsFetchedAgain(t *testing.T) {
+func TestFailedConfigurationIsFetchedAgain(t *testing.T) {
 	n := newTestNet(t, 1)
 	n.nodes[0].setDocument(4, "four")
 	s := &recordingSink{rejections: 2}
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.Run(ctx)
-	eventually(t, "all nodes are followed", func() bool { return f.Live() == 3 })
+	eventually(t, "all nodes are followed", func() bool { return f.ConnectedNodes() == 3 })
 	f.NotifyLeader(ctx, wire.MethodUsage, wire.Usage{})
 	eventually(t, "without a leader all nodes are notified", func() bool {
 		return n.nodes[0].usage.Load() == 1 && n.nodes[1].usage.Load() == 1 && n.nodes[2].usage.Load() == 1
@@ -164,9 +164,9 @@
 	is.Equal(n.nodes[1].usage.Load(), int64(6))
 }
 
-// TestASlowFetchIsNoLostNode checks that a configuration that takes long to fetch comes into force,
-// and that the node counts as connected in the meantime.
-func TestASlowFetchIsNoLostNode(t *testing.T) {
+// TestSlowFetchDoesNotDisconnectTheNode checks that a configuration that takes long to fetch comes
+// into force, and that the node counts as connected in the meantime.
+func TestSlowFetchDoesNotDisconnectTheNode(t *testing.T) {
 	is := is.New(t)
 	n := newTestNet(t, 1)
 	n.nodes[0].slow.Store(int64(700 * time.Millisecond))
--- a/src/feed/selection_test.go
+++ b/src/feed/selection_test.go
@@ -58,10 +58,10 @@
 	{Address: "192.0.2.1:1"}, {Address: "192.0.2.2:1"}, {Address: "192.0.2.3:1"}, {Address: "192.0.2.4:1"}, {Address: "192.0.2.5:1"},
 }
 
-// TestAStartingGatewayAsksOneControlNodeAfterTheOther guards against all gateways following all
+// TestStartingGatewayFollowsControlNodesOneByOne guards against all gateways following all
 // control nodes at once after a power loss, which kept these busy with streams instead of electing
 // a leader.
-func TestAStartingGatewayAsksOneControlNodeAfterTheOther(t *testing.T) {
+func TestStartingGatewayFollowsControlNodesOneByOne(t *testing.T) {
 	is := is.New(t)
 	f := newDisconnectedGateway(t, fiveNodes...)
 	now := time.Unix(1_800_000_000, 0)
@@ -129,9 +129,9 @@
 	f.updateFollowedAt(now)
 	s := f.sources[fiveNodes[0].Address]
 	f.handleUpdate(s, wire.FeedUpdate{ConfirmedMS: 300})
-	is.Equal(f.Known().Confirmed, now.Add(-300*time.Millisecond))
+	is.Equal(f.View().Confirmed, now.Add(-300*time.Millisecond))
 	f.handleUpdate(s, wire.FeedUpdate{})
-	is.True(f.Known().Confirmed.IsZero())
+	is.True(f.View().Confirmed.IsZero())
 }
 
 // TestTheOwnZonesControlNodeIsFollowedAsSoonAsItIsKnown covers a gateway that is already following
@@ -191,7 +191,7 @@
 func TestBatchDelayGrowsWithTheGateways(t *testing.T) {
 	is := is.New(t)
 	r, _ := newManualRelay(t)
-	is.Equal(r.Join(), batchDelay)
+	is.Equal(r.BatchDelay(), batchDelay)
 	r.gateways.Store(295)
-	is.Equal(r.Join(), 295*batchDelayPerGateway)
+	is.Equal(r.BatchDelay(), 295*batchDelayPerGateway)
 }
--- a/src/fleet/calls.go
+++ b/src/fleet/calls.go
@@ -17,17 +17,17 @@
 			c.proc.Ring().Add(event.Event{Kind: event.ConfigRefused, Reason: reason})
 		},
 		OrderZone:        c.orderZone,
-		Hear:             c.publisher.Hear,
+		ApplyHeartbeat:   c.publisher.ApplyHeartbeat,
 		HeartbeatRefused: c.heartbeatRefused,
 		UnknownFields:    c.unknown.record,
-		Remove:           c.publisher.Remove,
+		HandleEnd:        c.publisher.HandleEnd,
 	}
 }
 
 // heartbeatRefused records a malformed heartbeat; it changes nothing of the replica.
 func (c *controlNode) heartbeatRefused(name, reason string) {
 	c.proc.Metrics().Count("replica_calls_refused_total").Inc(1)
-	c.proc.Ring().Add(event.Event{Kind: event.CallRefused, Host: name, Reason: reason})
+	c.proc.Ring().Add(event.Event{Kind: event.HeartbeatRefused, Host: name, Reason: reason})
 }
 
 // put commits a configuration and reports whether that is certain.
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -63,25 +63,25 @@
 
 // controlNode is a running control node.
 type controlNode struct {
-	settings   option.FleetControl
-	file       string
-	external   Interface
-	proc       *process.Process
-	links      *control.Links
-	node       *control.Node
-	cluster    *control.Cluster
-	publisher  *feed.Publisher
-	relay      *feed.Relay
-	follower   *feed.Follower
-	usage      *exchange.Demand
-	tableCache tableCache
-	placer     *placer.Placer
-	board      *loadview.Board
-	backlog    *loadview.Backlog
-	granter    *admission.Granter
-	desk       *dispatch.Desk
-	permits    permits
-	unknown    *unknownNames
+	settings    option.FleetControl
+	file        string
+	external    Interface
+	proc        *process.Process
+	links       *control.Links
+	node        *control.Node
+	cluster     *control.Cluster
+	publisher   *feed.Publisher
+	relay       *feed.Relay
+	follower    *feed.Follower
+	usage       *exchange.Demand
+	tableCache  tableCache
+	placer      *placer.Placer
+	board       *loadview.Board
+	backlog     *loadview.Backlog
+	granter     *admission.Granter
+	dispatchers *dispatch.Dispatchers
+	permits     permits
+	unknown     *unknownNames
 
 	quarantine *quarantine.Table
 	// sharedQuarantine is the part of it that is sent to gateways, nil while there is none.
@@ -175,7 +175,7 @@
 }
 
 // build creates the node's parts and registers their methods.
-func (c *controlNode) build(folder *store.Folder, start raft.Start) error {
+func (c *controlNode) build(folder *store.Folder, start raft.InitialState) error {
 	id := folder.Identity().ID()
 	disk := control.Disk{Save: folder.Save, SaveSnapshot: folder.SaveSnapshot}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -193,7 +193,7 @@
 		setQuorumGauges(m, c.cluster.Quorum())
 		setDelayGauges(m, c.node.Delays())
 		m.Gauge("zones_drained", float64(len(c.cluster.Drains().Zones)))
-		accounts.set(m, c.granter.Used())
+		accounts.set(m, c.granter.DemandRates())
 	})
 	times := registry.Times{Silence: silentHeartbeats * c.settings.Heartbeat.Std(), Forget: forgetReplicas}
 	c.quarantine = newQuarantineTable(c.proc.Ring())
@@ -206,19 +206,19 @@
 
 		Confirmed: c.cluster.Confirmed,
 
-		Members:  c.cluster.Members,
-		Peers:    c.cluster.Peers,
-		Majority: c.cluster.Majority,
-		Leading:  func() bool { return c.cluster.Leadership().Self },
-		Note:     c.sendRecord,
+		Members:       c.cluster.Members,
+		Peers:         c.cluster.Peers,
+		Majority:      c.cluster.Majority,
+		Leading:       func() bool { return c.cluster.Leadership().Self },
+		SendDeparture: c.sendRecord,
 
 		Quarantine: c.sharedQuarantine.Load,
 		Drains:     c.cluster.Drains,
 
 		Save: c.saveReplicas(folder.Replicas()),
 
-		Serves:  c.serves,
-		Misread: c.heartbeatRefused,
+		Serves:           c.serves,
+		HeartbeatRefused: c.heartbeatRefused,
 	}
 	c.publisher = feed.NewPublisher(c.settings.Node, c.settings.Zone, times, cluster, clock.Now)
 	c.restoreReplicas(folder.Replicas())
@@ -234,7 +234,7 @@
 		Ring:    c.proc.Ring(),
 		Now:     clock.Now,
 	})
-	c.buildDesk()
+	c.buildDispatchers()
 	c.usage = exchange.NewDemand()
 	c.proc.Mux().Handle(wire.MethodUsage, rpc.Typed(c.handleUsage))
 	c.proc.Mux().Handle(wire.MethodUsageSum, rpc.Typed(c.handleUsageSum))
@@ -243,8 +243,8 @@
 	c.proc.Mux().Handle(wire.MethodLoad, rpc.Typed(c.handleLoad))
 	c.proc.Mux().Handle(wire.MethodLoadSum, rpc.Typed(c.handleLoadSum))
 	c.backlog = loadview.NewBacklog()
-	c.proc.Mux().Handle(wire.MethodSent, rpc.Typed(c.handleSent))
-	c.proc.Mux().Handle(wire.MethodSentSum, rpc.Typed(c.handleSentSum))
+	c.proc.Mux().Handle(wire.MethodSentPrompts, rpc.Typed(c.handleSent))
+	c.proc.Mux().Handle(wire.MethodSentPromptsSum, rpc.Typed(c.handleSentSum))
 	c.restoreQuarantine()
 	c.proc.Mux().Handle(wire.MethodQuarantine, rpc.Typed(c.handleQuarantine))
 	c.proc.Mux().Handle(wire.MethodQuarantineList, rpc.Typed(c.listQuarantine))
@@ -299,7 +299,7 @@
 func (c *controlNode) sendRecord(ctx context.Context, address string, record registry.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	return c.links.Client(address).Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
+	return c.links.Client(address).Call(ctx, wire.MethodDeparture, wire.DepartureRequest{Record: record}, nil)
 }
 
 // serve runs the node until a signal or a disk failure.
@@ -308,7 +308,7 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- c.node.Run(ctx) }()
-	go c.cluster.Tend(ctx)
+	go c.cluster.MaintainMembership(ctx)
 	go c.publisher.Run(ctx)
 	go c.placer.Run(ctx)
 	go c.shareLoad(ctx)
@@ -349,7 +349,7 @@
 	sink := feed.Sink{
 		Replicas: func(changes registry.Changes) {
 			c.placer.SetReplicas(changes)
-			c.desk.SetReplicas(changes)
+			c.dispatchers.SetReplicas(changes)
 		},
 		Drains: c.setDrains,
 	}
@@ -366,14 +366,14 @@
 		return
 	}
 	c.follower.AddSeeds(settings.SeedPeers())
-	c.cluster.Meet(settings.SeedPeers()...)
+	c.cluster.AddKnownAddresses(settings.SeedPeers()...)
 	c.proc.Ring().Add(event.Event{Kind: event.SettingsReloaded})
 }
 
 // stop hands over leadership and ends the node.
 func (c *controlNode) stop(calls *http.Server) {
 	c.proc.SetLeaving()
-	c.cluster.HandOver()
+	c.cluster.TransferLeadership()
 	ctx, cancel := context.WithTimeout(context.Background(), handOverWait)
 	defer cancel()
 	_ = calls.Shutdown(ctx)
--- a/src/fleet/gateway.go
+++ b/src/fleet/gateway.go
@@ -77,7 +77,7 @@
 	demand   *exchange.Demand
 	follower *feed.Follower
 	gate     *admission.Gate
-	guard    *quarantine.Guard
+	tracker  *quarantine.Tracker
 	stopping atomic.Bool
 	// replicas is set once any replica is known.
 	replicas atomic.Bool
@@ -102,41 +102,41 @@
 	debug.SetGCPercent(gatewayGCPercent)
 	g.fleet = exchange.NewFleet(settings.Zone, exchange.Dial, proc.Ring(), time.Now, clock.Now)
 	g.fleet.SetRegions(settings.Zones)
-	terms := quotaTerms(settings.Quota)
+	terms := quotaParameters(settings.Quota)
 	g.gate = admission.NewGate(admission.GateOptions{
-		Ask:   g.askAdmission,
-		Trust: settings.Trust.Std(),
-		Life:  terms.Life,
-		Ring:  proc.Ring(),
-		Now:   clock.Now,
-		Sleep: admission.Sleep,
+		Request:  g.askAdmission,
+		Trust:    settings.Trust.Std(),
+		GrantTTL: terms.GrantTTL,
+		Ring:     proc.Ring(),
+		Now:      clock.Now,
+		Sleep:    admission.Sleep,
 	})
-	g.guard = quarantine.NewGuard(newQuarantineTable(proc.Ring()))
+	g.tracker = quarantine.NewTracker(newQuarantineTable(proc.Ring()))
 	g.handler = exchange.NewHandler(exchange.Options{
 		Codec:  external.Codec,
 		Fleet:  g.fleet,
 		Budget: exchange.BudgetLimits{Ratio: settings.Retry.Ratio, Extra: settings.Retry.Extra, Window: settings.Retry.Window.Std()},
 		Admission: exchange.Admission{
-			Admit:      g.gate.Admit,
-			Return:     g.gate.Return,
-			Trusted:    g.gate.Trusted,
-			AwaitTrust: g.gate.AwaitTrust,
-			Now:        clock.Now,
+			Admit:             g.gate.Admit,
+			Return:            g.gate.Return,
+			Confirmed:         g.gate.Confirmed,
+			AwaitConfirmation: g.gate.AwaitConfirmation,
+			Now:               clock.Now,
 		},
-		Places:  exchange.Places{Ask: g.askPlace, Release: g.releasePlace},
-		Permits: exchange.Permits{Ask: g.askPermit},
-		Guard:   g.guard,
+		Slots:   exchange.Slots{Request: g.requestSlot, Release: g.releaseSlot},
+		Permits: exchange.Permits{Request: g.askPermit},
+		Tracker: g.tracker,
 		Demand:  g.demand,
 		Ring:    proc.Ring(),
 		Metrics: exchange.NewMetrics(proc.Metrics()),
 		Now:     time.Now,
 		Unknown: newUnknownNames(proc).record,
 
-		RetainBytes: int64(retainShare * float64(settings.MemoryMB) * (1 << 20)),
+		MaxRetainedBytes: int64(retainShare * float64(settings.MemoryMB) * (1 << 20)),
 	})
 	g.buildFollower()
 	proc.SetRefresh(func(m *metric.Registry) {
-		setGatewayGauges(clock.Now(), m, g.handler.Table(), g.follower.Known())
+		setGatewayGauges(clock.Now(), m, g.handler.Table(), g.follower.View())
 		setAvailabilityGauges(m, g.fleet)
 	})
 	if err := proc.Serve(); err != nil {
@@ -195,7 +195,7 @@
 		Backlogs: g.fleet.SetBacklogs,
 		Limits:   g.fleet.SetLimits,
 
-		Quarantine: func(received []quarantine.Entry) { g.guard.Take(time.Now(), received) },
+		Quarantine: func(received []quarantine.Entry) { g.tracker.MergeFromControl(time.Now(), received) },
 	}
 	g.follower = feed.NewFollower(options, sink, g.proc.Meter(), nil, g.proc.Ring(), clock.Now)
 }
@@ -223,17 +223,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.demand.Asked():
+		case <-g.demand.Changed():
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(demandInterval):
-		case <-g.demand.Urgent():
+		case <-g.demand.MissingCopy():
 			time.Sleep(demandBatchDelay)
 		}
 		if models := g.demand.Drain(); len(models) > 0 {
-			g.follower.NotifyNearest(ctx, wire.MethodUsage, wire.Usage{Node: g.settings.Node, Models: models})
+			g.follower.NotifyBest(ctx, wire.MethodUsage, wire.Usage{Node: g.settings.Node, Models: models})
 		}
 	}
 }
@@ -246,7 +246,7 @@
 		gateways, replicas := g.handler.Gateways(), g.fleet.Replicas()
 		var nextReport <-chan time.Time
 		if !idle {
-			nextReport = time.After(loadview.Interval(gateways, replicas))
+			nextReport = time.After(loadview.ReportInterval(gateways, replicas))
 		}
 		select {
 		case <-ctx.Done():
@@ -255,9 +255,9 @@
 		case <-g.fleet.RequestSent():
 		}
 		report := wire.LoadReport{Node: g.settings.Node, Loads: g.fleet.Loads()}
-		g.follower.NotifyNearest(ctx, wire.MethodLoad, report)
+		g.follower.NotifyBest(ctx, wire.MethodLoad, report)
 		idle = len(report.Loads) == 0
-		time.Sleep(loadview.Pause(gateways, replicas))
+		time.Sleep(loadview.RoundInterval(gateways, replicas))
 	}
 }
 
@@ -269,8 +269,8 @@
 			return
 		case <-g.fleet.PromptsSent():
 		}
-		time.Sleep(loadview.BacklogJoin)
-		g.follower.NotifyNearest(ctx, wire.MethodSent, g.fleet.DrainPrompts())
+		time.Sleep(loadview.BacklogBatchDelay)
+		g.follower.NotifyBest(ctx, wire.MethodSentPrompts, g.fleet.DrainPrompts())
 	}
 }
 
@@ -284,9 +284,9 @@
 			return
 		case <-ticker.C:
 			now := time.Now()
-			g.fleet.Tidy(now)
-			g.handler.Tidy(now)
-			g.guard.Sweep(now)
+			g.fleet.Expire(now)
+			g.handler.Expire(now)
+			g.tracker.Sweep(now)
 		}
 	}
 }
--- a/src/fleet/gauges.go
+++ b/src/fleet/gauges.go
@@ -16,7 +16,7 @@
 // setQuorumGauges sets the gauges of a control node's membership.
 func setQuorumGauges(m *metric.Registry, q control.Quorum) {
 	m.Gauge("voters", float64(q.Voters))
-	m.Gauge("voters_heard", float64(q.Heard))
+	m.Gauge("voters_heard", float64(q.InContact))
 	m.Gauge("learners", float64(q.Learners))
 	m.Gauge("leading", boolValue(q.Leading))
 	m.Gauge("leader_known", boolValue(q.LeaderKnown))
@@ -28,7 +28,7 @@
 // setDelayGauges sets the gauges of the longest recent delays in a control node's consensus.
 func setDelayGauges(m *metric.Registry, d control.Delays) {
 	m.Gauge("agreement_wait_seconds", d.Wait.Seconds())
-	m.Gauge("agreement_step_seconds", d.Step.Seconds())
+	m.Gauge("agreement_step_seconds", d.Iteration.Seconds())
 	m.Gauge("disk_write_seconds", d.Write.Seconds())
 }
 
@@ -71,14 +71,14 @@
 
 // setGatewayGauges sets the gauges of the configuration that a gateway uses, nil if there is none
 // yet, and of the newest that it knows to exist.
-func setGatewayGauges(now time.Time, m *metric.Registry, table *catalog.Table, known feed.Known) {
+func setGatewayGauges(now time.Time, m *metric.Registry, table *catalog.Table, known feed.View) {
 	version := uint64(0)
 	if table != nil {
 		version = table.Version()
 	}
 	m.Gauge("configuration_version", float64(version))
 	m.Gauge("configuration_version_told", float64(known.Version))
-	m.Gauge("control_nodes_followed", float64(known.Reach))
+	m.Gauge("control_nodes_followed", float64(known.ConnectedNodes))
 	if !known.Confirmed.IsZero() {
 		m.Gauge("configuration_confirmed_age_seconds", now.Sub(known.Confirmed).Seconds())
 	}
@@ -91,8 +91,8 @@
 	m.Gauge("replicas_backing_off", float64(backingOff))
 	m.Gauge("replicas_leaving_told", float64(leaving))
 	m.Gauge("zones_drained", float64(f.DrainedZones()))
-	m.Gauge("replicas_cold", float64(f.Cold()))
-	m.Gauge("replicas_limited", float64(f.Limited()))
+	m.Gauge("replicas_cold", float64(f.ColdReplicas()))
+	m.Gauge("replicas_limited", float64(f.LimitedReplicas()))
 }
 
 // boolValue converts a boolean to a gauge value.
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -96,8 +96,8 @@
 	text, err := b.ask("r", "m", "p", 6)
 	is.NoErr(err)
 	is.Equal(text, emulator.Answer("m", "p", 6))
-	is.Equal(first.Ran("r"), 1) // each host sent three tokens
-	is.Equal(second.Ran("r"), 1)
+	is.Equal(first.RunCount("r"), 1) // each host sent three tokens
+	is.Equal(second.RunCount("r"), 1)
 	is.Equal(b.server.Status().Resumed, uint64(1))
 }
 
@@ -112,8 +112,8 @@
 		id := fmt.Sprint("r", i)
 		_, err := b.ask(id, "m", fmt.Sprint("p", i), 2)
 		is.NoErr(err)
-		ran += leaving.Ran(id)
-		is.Equal(leaving.Ran(id)+staying.Ran(id), 1)
+		ran += leaving.RunCount(id)
+		is.Equal(leaving.RunCount(id)+staying.RunCount(id), 1)
 	}
 	is.True(ran <= 1)
 }
@@ -218,7 +218,7 @@
 }
 
 func (b *testGateway) register(key string) (service.Answer, error) {
-	return b.plain.Do(context.Background(), b.address, service.Call{Method: "POST", Path: "/services/desk/register", Body: []byte("form"), ID: "r-" + key, Key: key, Once: true})
+	return b.plain.Do(context.Background(), b.address, service.Call{Method: "POST", Path: "/services/desk/register", Body: []byte("form"), ID: "r-" + key, Key: key, AtMostOnce: true})
 }
 
 func TestOnceCallIsNotRetriedAfterLostAnswer(t *testing.T) {
@@ -237,7 +237,7 @@
 	is.True(strings.Contains(string(answer.Body), string(ReasonOutcomeUnknown)))
 	is.True(strings.Contains(string(answer.Body), `"not_run":"unknown"`))
 	is.Equal(calls.Load(), int64(1))
-	is.Equal((<-settled).State, wire.ClaimLost) // the key stays claimed
+	is.Equal((<-settled).State, wire.ClaimUnknown) // the key stays claimed
 }
 
 func TestOnceCallIsRetriedWhenNothingWasSent(t *testing.T) {
@@ -260,7 +260,7 @@
 	b.fakeHost("h1", func(h *server.Hertz) {
 		h.POST("/register", countCalls(&calls, func(_ context.Context, c *app.RequestContext) { c.String(200, "ok") }))
 	})
-	for _, state := range []wire.ClaimState{wire.ClaimRunning, wire.ClaimDone, wire.ClaimLost} {
+	for _, state := range []wire.ClaimState{wire.ClaimRunning, wire.ClaimDone, wire.ClaimUnknown} {
 		b.controlNode.claim = func(wire.ClaimRequest) wire.ClaimReply {
 			return wire.ClaimReply{Outcome: wire.Accepted, State: state}
 		}
@@ -338,7 +338,7 @@
 	}
 }
 
-func init() { testseed.Fix() }
+func init() { testseed.SetFixedSeed() }
 
 // TestRequestPromises has hosts behave in any order of success and failure and
 // checks the guarantees to clients: a request that is refused as not run did not
@@ -351,7 +351,7 @@
 		hosts = append(hosts, host)
 		b.fakeHost(name, func(h *server.Hertz) { h.POST(engine.PathCompletions, host.handle) })
 	}
-	b.server.budget = limit.NewBudget(1e6) // retries must not run out of budget
+	b.server.budget = limit.NewRetryBudget(1e6) // retries must not run out of budget
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestDemandBringsCopiesAndKeepsTheLastOfOthers(t *testing.T) {
+func TestDemandAddsCopiesAndKeepsLastCopies(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e, "m0", "m1", "m2"), newFakeReplica("b", e, "m3", "m4", "m0"), newFakeReplica("c", e, "m0", "m1", "m2"))
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestANewHolderKeepsApartFromTheOldOne(t *testing.T) {
+func TestNewLeaderWaitsForTheOldLease(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e))
@@ -152,7 +152,7 @@
 	is.Equal(len(sim.orders), 1)
 }
 
-func TestAnOrderIsNotSentOnceLeadershipIsGone(t *testing.T) {
+func TestNoOrderIsSentAfterLossOfLeadership(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e))
@@ -168,10 +168,10 @@
 	is.Equal(len(sim.orders), 0)
 }
 
-// TestRoomIsNeverOvercommitted checks that no replica is ordered to hold more than it has room for,
-// and that loads from the store keep to their rate, whatever happens to orders, whichever adapters
-// are in use and whoever leads.
-func TestRoomIsNeverOvercommitted(t *testing.T) {
+// TestMemoryIsNeverOvercommitted checks that no replica is ordered to hold more than it has room
+// for, and that loads from the store keep to their rate, whatever happens to orders, whichever
+// adapters are in use and whoever leads.
+func TestMemoryIsNeverOvercommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := testEngine()
 		var fakes []*fakeReplica
@@ -277,11 +277,11 @@
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
-	sim.availability = Word{Backoff: 8 * time.Second}
+	sim.availability = Availability{Backoff: 8 * time.Second}
 	sim.run(2 * time.Second)
 	orders, reports := len(sim.orders), sim.reports
 	is.Equal(orders+reports, 1) // the report request whose answer asked for the backoff
-	sim.availability = Word{}
+	sim.availability = Availability{}
 	sim.run(5 * time.Second)
 	is.Equal([]int{len(sim.orders), sim.reports}, []int{orders, reports})
 	sim.run(20 * time.Second)
@@ -295,10 +295,10 @@
 	is := is.New(t)
 	e := testEngine()
 	sim := newSimulation(e, newFakeReplica("a", e, "m0"))
-	sim.availability = Word{Leaving: true}
+	sim.availability = Availability{Leaving: true}
 	sim.run(2 * time.Second)
 	calls := len(sim.orders) + sim.reports
-	sim.availability = Word{}
+	sim.availability = Availability{}
 	sim.run(10 * time.Second)
 	is.Equal(len(sim.orders)+sim.reports, calls)
 	next := newFakeReplica("b", e)
@@ -307,10 +307,10 @@
 	is.True(next.models["m0"] != nil)
 }
 
-// TestWhatADrainedZoneHeldComesElsewhere checks that the models of a drained zone are loaded
+// TestModelsOfDrainedZoneAreLoadedElsewhere checks that the models of a drained zone are loaded
 // elsewhere at the store's rate and nothing is ordered in the zone, and that no model is loaded
 // there when the drain ends.
-func TestWhatADrainedZoneHeldComesElsewhere(t *testing.T) {
+func TestModelsOfDrainedZoneAreLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	e.WeightsMB, e.LoadsPerSecond = 500, 1
@@ -339,13 +339,13 @@
 }
 
 func holds(f *fakeReplica, model string) bool {
-	return slices.ContainsFunc(f.held(), func(h registry.Held) bool { return h.Name == model })
+	return slices.ContainsFunc(f.held(), func(h registry.LoadedModel) bool { return h.Name == model })
 }
 
-// TestWhatIsAskedForHasACopyInTheEnd checks that, with room for every requested model, all of them
+// TestEveryRequestedModelGetsACopy checks that, with room for every requested model, all of them
 // are served soon after the demand has changed, whatever was loaded before, and that none is loaded
 // twice as long as it is requested.
-func TestWhatIsAskedForHasACopyInTheEnd(t *testing.T) {
+func TestEveryRequestedModelGetsACopy(t *testing.T) {
 	const models, places = 14, 9
 	rapid.Check(t, func(t *rapid.T) {
 		e := testEngine()
--- a/src/planner/zone.go
+++ b/src/planner/zone.go
@@ -182,8 +182,8 @@
 	return pool.Pool != nil && pool.Pool.ChecksOrders
 }
 
-// Demand records the demand report of a gateway.
-func (z *Zone) Demand(report wire.DemandReport) { z.demandEstimates.add(report) }
+// RecordDemand records the demand report of a gateway.
+func (z *Zone) RecordDemand(report wire.DemandReport) { z.demandEstimates.add(report) }
 
 // Drain drains a host or, with undo, ends its drain.
 func (z *Zone) Drain(host string, undo bool) {
@@ -257,7 +257,7 @@
 func (z *Zone) updateMembers(now time.Time) {
 	for _, name := range z.hostNames() {
 		entry := z.members[name]
-		entry.member.Tick(now)
+		entry.member.Update(now)
 		state := entry.member.State()
 		if state == entry.state {
 			continue
--- a/src/registry/recall_test.go
+++ b/src/registry/recall_test.go
@@ -23,16 +23,16 @@
 func TestRecalledReplicaExpiresWithoutHeartbeat(t *testing.T) {
 	is := is.New(t)
 	before := NewTable(times)
-	before.Hear(baseTime, Record{ID: "a", Address: "x", Sequence: 7})
-	before.Hear(baseTime, Record{ID: "b", Address: "y", Sequence: 7})
-	before.Hear(baseTime, Record{ID: "leaves", Address: "z", Sequence: 7, Draining: true})
+	before.ApplyHeartbeat(baseTime, Record{ID: "a", Address: "x", Sequence: 7})
+	before.ApplyHeartbeat(baseTime, Record{ID: "b", Address: "y", Sequence: 7})
+	before.ApplyHeartbeat(baseTime, Record{ID: "leaves", Address: "z", Sequence: 7, Draining: true})
 	table := NewTable(times)
 	table.Recall(baseTime, before.Records())
 	d := NewDirectory(time.Minute)
 	d.Apply(baseTime, "n", table.Since(0))
 	is.Equal(usable(d), map[string]bool{"a": true, "b": true})
 	stamp := table.Stamp()
-	is.True(table.Hear(baseTime.Add(time.Second), Record{ID: "a", Address: "x", Sequence: 8}))
+	is.True(table.ApplyHeartbeat(baseTime.Add(time.Second), Record{ID: "a", Address: "x", Sequence: 8}))
 	table.Sweep(baseTime.Add(recallGrace + time.Second))
 	d.Apply(baseTime, "n", table.Since(stamp))
 	is.Equal(usable(d), map[string]bool{"a": true})
@@ -41,7 +41,7 @@
 func TestSilentReplicasAreNotRecalled(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	table.Hear(baseTime, Record{ID: "a", Sequence: 1})
+	table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 1})
 	table.Sweep(baseTime.Add(times.Silence + 1))
 	is.Equal(len(table.Records()), 0)
 }
@@ -51,8 +51,8 @@
 func TestARecalledReplicaDoesNotTakeAnAddressBack(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "new", Address: "x"}}})
-	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "old", Address: "x"}, Recalled: true}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "new", Address: "x"}}})
+	d.Apply(baseTime, "m", []ReplicaStatus{{Record: Record{ID: "old", Address: "x"}, Recalled: true}})
 	is.Equal(usable(d), map[string]bool{"new": true})
 }
 
@@ -63,9 +63,9 @@
 		table := NewTable(times)
 		count := rapid.IntRange(2, 8).Draw(t, "incarnations")
 		for i := range count {
-			table.Hear(baseTime, Record{ID: fmt.Sprint("i", 9-i), Address: "x", Sequence: 1})
+			table.ApplyHeartbeat(baseTime, Record{ID: fmt.Sprint("i", 9-i), Address: "x", Sequence: 1})
 			if rapid.Bool().Draw(t, "an earlier one calls again") {
-				table.Hear(baseTime, Record{ID: fmt.Sprint("i", 9-rapid.IntRange(0, i).Draw(t, "which")), Address: "x", Sequence: 2, Slots: i + 1})
+				table.ApplyHeartbeat(baseTime, Record{ID: fmt.Sprint("i", 9-rapid.IntRange(0, i).Draw(t, "which")), Address: "x", Sequence: 2, Slots: i + 1})
 			}
 		}
 		if rapid.Bool().Draw(t, "the node was restarted") {
@@ -88,9 +88,9 @@
 func TestAReplacedIncarnationKeepsNoAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "earlier", Address: "x"}, Recalled: true}})
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "later", Address: "x"}, Recalled: true}})
-	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "earlier", Address: "x"}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "earlier", Address: "x"}, Recalled: true}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "later", Address: "x"}, Recalled: true}})
+	d.Apply(baseTime, "m", []ReplicaStatus{{Record: Record{ID: "earlier", Address: "x"}}})
 	follower := NewDirectory(time.Minute)
 	follower.Apply(baseTime, "relay", d.Since(0))
 	is.Equal(usable(d), map[string]bool{"later": true})
--- a/src/registry/registry_test.go
+++ b/src/registry/registry_test.go
@@ -17,8 +17,8 @@
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	is.True(table.Hear(baseTime, Record{ID: "a", Sequence: 5, Slots: 8}))
-	is.True(!table.Hear(baseTime, Record{ID: "a", Sequence: 4, Slots: 2}))
+	is.True(table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 5, Slots: 8}))
+	is.True(!table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 4, Slots: 2}))
 	record, _ := table.Record("a")
 	is.Equal(record.Slots, 8)
 }
@@ -26,13 +26,13 @@
 func TestSilenceIsReportedOnceAndCleared(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(times)
-	table.Hear(baseTime, Record{ID: "a", Sequence: 1})
+	table.ApplyHeartbeat(baseTime, Record{ID: "a", Sequence: 1})
 	stamp := table.Stamp()
 	is.True(!table.Sweep(baseTime.Add(4 * time.Second)))
 	is.True(table.Sweep(baseTime.Add(6 * time.Second)))
 	is.True(!table.Sweep(baseTime.Add(7 * time.Second)))
 	is.True(table.Since(stamp)[0].Silent)
-	is.True(table.Hear(baseTime.Add(8*time.Second), Record{ID: "a", Sequence: 2}))
+	is.True(table.ApplyHeartbeat(baseTime.Add(8*time.Second), Record{ID: "a", Sequence: 2}))
 	is.True(!table.Since(stamp)[0].Silent)
 	table.Sweep(baseTime.Add(3 * time.Minute))
 	is.Equal(len(table.Since(0)), 0)
@@ -41,9 +41,9 @@
 func TestANewIncarnationTakesTheAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "old", Address: "x"}}})
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "new", Address: "x"}}})
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "old", Address: "x", Sequence: 9}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "old", Address: "x"}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "new", Address: "x"}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "old", Address: "x", Sequence: 9}}})
 	for _, e := range d.Entries() {
 		is.Equal(e.Usable(), e.Record.ID == "new")
 	}
@@ -52,16 +52,16 @@
 func TestOneNodeThatHearsAReplicaIsEnough(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}, Silent: true}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "a", Sequence: 1}, Silent: true}})
 	is.True(!d.Entries()[0].Usable())
-	d.Apply(baseTime, "m", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
+	d.Apply(baseTime, "m", []ReplicaStatus{{Record: Record{ID: "a", Sequence: 1}}})
 	is.True(d.Entries()[0].Usable())
 }
 
 func TestLostNodesAreTrustedOnlyWhileNoOtherIsInReach(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
-	d.Apply(baseTime, "n", []Standing{{Record: Record{ID: "a", Sequence: 1}}})
+	d.Apply(baseTime, "n", []ReplicaStatus{{Record: Record{ID: "a", Sequence: 1}}})
 	d.RemoveSource(baseTime, "n")
 	d.Sweep(baseTime.Add(10*time.Second), 5*time.Second, false)
 	is.True(d.Entries()[0].Usable())
@@ -69,9 +69,9 @@
 	is.True(!d.Entries()[0].Usable())
 }
 
-// TestLeavingIsNeverTakenBack checks that a replica once reported as leaving stays so, whatever the
+// TestLeavingIsNeverRevoked checks that a replica once reported as leaving stays so, whatever the
 // order and the nodes through which its heartbeats arrive.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverRevoked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*Table{NewTable(times), NewTable(times), NewTable(times)}
 		d := NewDirectory(time.Hour)
@@ -94,7 +94,7 @@
 				d.RemoveSource(now, fmt.Sprint(n))
 				stamps[n] = 0
 			default:
-				nodes[n].Hear(now, record)
+				nodes[n].ApplyHeartbeat(now, record)
 			}
 			d.Apply(now, fmt.Sprint(n), nodes[n].Since(stamps[n]))
 			stamps[n] = nodes[n].Stamp()
@@ -109,9 +109,9 @@
 	})
 }
 
-// TestChangesAndStandingsTellTheSame checks that applying every change and following by stamps at
+// TestChangesAndStatusesAgree checks that applying every change and following by stamps at
 // arbitrary times both end with the directory's state.
-func TestChangesAndStandingsTellTheSame(t *testing.T) {
+func TestChangesAndStatusesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, follower := NewDirectory(time.Hour), NewDirectory(time.Hour)
 		kept := map[string]Entry{}
@@ -125,7 +125,7 @@
 			case 1:
 				d.Sweep(now, 5*time.Second, rapid.Bool().Draw(t, "in reach"))
 			default:
-				d.Apply(now, source, []Standing{drawStanding(t)})
+				d.Apply(now, source, []ReplicaStatus{drawStanding(t)})
 			}
 			changes := d.Changes()
 			for _, e := range changes.Entries {
@@ -157,9 +157,9 @@
 
 // drawStanding draws a standing of one of three replicas, two of which had the same address one
 // after the other. An incarnation keeps its address.
-func drawStanding(t *rapid.T) Standing {
+func drawStanding(t *rapid.T) ReplicaStatus {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "replica")
-	return Standing{
+	return ReplicaStatus{
 		Record: Record{
 			ID:       id,
 			Address:  map[string]string{"a": "x", "b": "x", "c": "y"}[id],
@@ -171,17 +171,17 @@
 	}
 }
 
-// TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress covers a process that has just started
+// TestLateHeartbeatOfDeadIncarnationLosesTheAddress covers a process that has just started
 // to receive updates and processes the dead incarnation's heartbeat last. The running incarnation
 // must get its address back once the other one is silent.
-func TestALateHeartbeatOfADeadIncarnationDoesNotKeepTheAddress(t *testing.T) {
+func TestLateHeartbeatOfDeadIncarnationLosesTheAddress(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory(time.Minute)
 	alive, dead := Record{ID: "i-new", Address: "10.0.0.1:80"}, Record{ID: "i-old", Address: "10.0.0.1:80"}
-	d.Apply(baseTime, "a", []Standing{{Record: alive}})
-	d.Apply(baseTime, "b", []Standing{{Record: dead}})
+	d.Apply(baseTime, "a", []ReplicaStatus{{Record: alive}})
+	d.Apply(baseTime, "b", []ReplicaStatus{{Record: dead}})
 	is.Equal(usable(d), map[string]bool{"i-old": true}) // it is not known yet which one is running
-	d.Apply(baseTime.Add(5*time.Second), "b", []Standing{{Record: dead, Silent: true}})
+	d.Apply(baseTime.Add(5*time.Second), "b", []ReplicaStatus{{Record: dead, Silent: true}})
 	is.Equal(usable(d), map[string]bool{"i-new": true})
 	is.Equal(len(d.Since(d.Stamp()-1)), 1) // and gateways are sent the change
 }
@@ -194,7 +194,7 @@
 	directory := NewDirectory(time.Hour)
 	now := time.Unix(1_800_000_000, 0)
 	send := func(sequence uint64, coldMS int64) (news bool) {
-		news = table.Hear(now, Record{ID: "r", Sequence: sequence, ColdMS: coldMS})
+		news = table.ApplyHeartbeat(now, Record{ID: "r", Sequence: sequence, ColdMS: coldMS})
 		stamp := directory.Stamp()
 		directory.Apply(now, "a", table.Since(0))
 		is.Equal(directory.Stamp() != stamp, news)
