--- a/src/admission/admission_test.go
+++ b/src/admission/admission_test.go
@@ -73,9 +73,9 @@
 	return reply, nil
 }
 
-func (n *testCluster) draw(_ context.Context, r wire.ReserveRequest) (wire.ReserveReply, error) {
+func (n *testCluster) draw(_ context.Context, r wire.DrawRequest) (wire.DrawReply, error) {
 	if !n.leaderReachable {
-		return wire.ReserveReply{}, errDisconnected
+		return wire.DrawReply{}, errDisconnected
 	}
 	return n.leader.Reserve(context.Background(), r), nil
 }
--- a/src/admission/granter.go
+++ b/src/admission/granter.go
@@ -44,7 +44,7 @@
 // Leader are the calls to the leading control node, which may be this one.
 type Leader struct {
 	Lease   func(ctx context.Context, request wire.LeaseRequest) (wire.LeaseReply, error)
-	Reserve func(ctx context.Context, request wire.ReserveRequest) (wire.ReserveReply, error)
+	Reserve func(ctx context.Context, request wire.DrawRequest) (wire.DrawReply, error)
 }
 
 // GranterOptions configure a granter.
@@ -194,7 +194,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
-	reply, err := g.options.Leader.Reserve(ctx, wire.ReserveRequest(request))
+	reply, err := g.options.Leader.Reserve(ctx, wire.DrawRequest(request))
 	if err != nil {
 		return wire.AdmissionUnknown, 0
 	}
@@ -218,14 +218,14 @@
 }
 
 // Reserve answers a request for units that are not leased, if this node leads.
-func (g *Granter) Reserve(ctx context.Context, request wire.ReserveRequest) wire.ReserveReply {
+func (g *Granter) Reserve(ctx context.Context, request wire.DrawRequest) wire.DrawReply {
 	lead, table := g.leadingTable()
 	if table == nil {
-		return wire.ReserveReply{}
+		return wire.DrawReply{}
 	}
 	limit, limited := limitLookup(table)(request.Account)
 	if !limited {
-		return wire.ReserveReply{Admission: wire.AdmissionGranted}
+		return wire.DrawReply{Admission: wire.AdmissionGranted}
 	}
 	answer := g.takeUnits(&lead, request, limit)
 	if answer.Record > 0 {
@@ -233,14 +233,14 @@
 	}
 	switch {
 	case answer.Taken:
-		return wire.ReserveReply{Admission: wire.AdmissionGranted}
+		return wire.DrawReply{Admission: wire.AdmissionGranted}
 	case answer.Record > 0:
-		return wire.ReserveReply{}
+		return wire.DrawReply{}
 	}
-	return wire.ReserveReply{Admission: wire.QuotaExhausted, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
+	return wire.DrawReply{Admission: wire.QuotaExhausted, WaitMS: min(answer.Wait, maxWait).Milliseconds() + 1}
 }
 
-func (g *Granter) takeUnits(lead *Leadership, request wire.ReserveRequest, limit quota.Limit) quota.TakeResult {
+func (g *Granter) takeUnits(lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.TakeResult {
 	now := g.options.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -249,7 +249,7 @@
 
 // takeExtension records the extension that the account needs and takes units from it. Callers that
 // waited for another recording may find that it is enough for them.
-func (g *Granter) takeExtension(ctx context.Context, lead *Leadership, request wire.ReserveRequest, limit quota.Limit) quota.TakeResult {
+func (g *Granter) takeExtension(ctx context.Context, lead *Leadership, request wire.DrawRequest, limit quota.Limit) quota.TakeResult {
 	g.recordMu.Lock()
 	defer g.recordMu.Unlock()
 	answer := g.takeUnits(lead, request, limit)
--- a/src/cli/hosts.go
+++ b/src/cli/hosts.go
@@ -107,7 +107,7 @@
 func (c *cutCommand) Execute([]string) error {
 	ctx, cancel, cl := commandContext()
 	defer cancel()
-	err := cl.callProcess(ctx, c.Address, wire.MethodPartition, wire.PartitionRequest{Prefixes: c.Args.Prefixes}, nil)
+	err := cl.callProcess(ctx, c.Address, wire.MethodCut, wire.CutRequest{Prefixes: c.Args.Prefixes}, nil)
 	if err != nil {
 		return exitWith(ExitUnavailable, "the process at %s can't be cut: %v", c.Address, err)
 	}
--- a/src/control/members.go
+++ b/src/control/members.go
@@ -65,8 +65,8 @@
 	return wire.MembersReply{Outcome: applied.outcome, Members: next, Reason: applied.reason}
 }
 
-func (s *Service) logIndex(_ context.Context, _ *rpc.Peer, request wire.LogIndexRequest) (wire.LogIndexReply, error) {
-	var reply wire.LogIndexReply
+func (s *Service) logIndex(_ context.Context, _ *rpc.Peer, request wire.HeldRequest) (wire.HeldReply, error) {
+	var reply wire.HeldReply
 	s.node.Do(func(time.Time) {
 		core := s.node.replica.core
 		members := core.Members()
@@ -83,8 +83,8 @@
 // every entry it has acknowledged. Peers that do not reply before the context ends are ignored.
 func (s *Service) CheckDisk(ctx context.Context, id raft.ID, last uint64, fresh bool) error {
 	for _, client := range s.clients {
-		var reply wire.LogIndexReply
-		if err := client.Call(ctx, wire.MethodLogIndex, wire.LogIndexRequest{ID: id}, &reply); err != nil {
+		var reply wire.HeldReply
+		if err := client.Call(ctx, wire.MethodHeld, wire.HeldRequest{ID: id}, &reply); err != nil {
 			continue
 		}
 		if fresh && reply.Started {
@@ -181,7 +181,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	_ = client.Notify(ctx, wire.MethodLiveNodes, wire.LiveNodesReport{Nodes: names})
+	_ = client.Notify(ctx, wire.MethodSeen, wire.SeenReport{Nodes: names})
 }
 
 // TransferLeadership transfers leadership to another control node before a planned stop.
--- a/src/control/nodes.go
+++ b/src/control/nodes.go
@@ -112,7 +112,7 @@
 	return wire.HeartbeatReply{Peers: s.nodes.peers(beat, now)}, nil
 }
 
-func (s *Service) liveNodes(_ context.Context, _ *rpc.Peer, report wire.LiveNodesReport) (wire.Empty, error) {
+func (s *Service) liveNodes(_ context.Context, _ *rpc.Peer, report wire.SeenReport) (wire.Empty, error) {
 	s.nodes.recordHeard(report.Nodes, s.now())
 	return wire.Empty{}, nil
 }
--- a/src/control/service.go
+++ b/src/control/service.go
@@ -64,9 +64,9 @@
 	mux.Handle(wire.MethodSettle, rpc.Typed(s.settle))
 	mux.Handle(wire.MethodGrant, rpc.Typed(s.grant))
 	mux.Handle(wire.MethodHeartbeat, rpc.Typed(s.heartbeat))
-	mux.Handle(wire.MethodLiveNodes, rpc.Typed(s.liveNodes))
+	mux.Handle(wire.MethodSeen, rpc.Typed(s.liveNodes))
 	mux.Handle(wire.MethodMembers, rpc.Typed(s.members))
-	mux.Handle(wire.MethodLogIndex, rpc.Typed(s.logIndex))
+	mux.Handle(wire.MethodHeld, rpc.Typed(s.logIndex))
 }
 
 // nameOf returns the name part of an identity, which precedes the "#".
--- a/src/exchange/prompts.go
+++ b/src/exchange/prompts.go
@@ -28,10 +28,10 @@
 	s.changed.Raise()
 }
 
-func (s *sentPrompts) drain() wire.SentPromptsReport {
+func (s *sentPrompts) drain() wire.SentReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var report wire.SentPromptsReport
+	var report wire.SentReport
 	for replica, prompt := range s.sent {
 		report.Sent = append(report.Sent, wire.Sent{Replica: replica, ReadMS: int(prompt.Milliseconds())})
 	}
@@ -44,7 +44,7 @@
 func (f *Fleet) PromptsSent() <-chan struct{} { return f.sentPrompts.changed.Raised() }
 
 // DrainPrompts returns the prompts that were sent since the last call.
-func (f *Fleet) DrainPrompts() wire.SentPromptsReport { return f.sentPrompts.drain() }
+func (f *Fleet) DrainPrompts() wire.SentReport { return f.sentPrompts.drain() }
 
 // SetBacklogs sets the prefill times of the prompts of all gateways. The estimate of a replica that
 // is not included stays and decreases with time.
--- a/src/exchange/residency_test.go
+++ b/src/exchange/residency_test.go
@@ -46,11 +46,11 @@
 	is.True(b.fleet.backup(time.Now(), want, []*Peer{b.fleet.Peer("y")}) == nil)
 	var tried []string
 	b.handler.options.Slots = Slots{
-		Request: func(_ context.Context, request wire.SlotRequest) (wire.SlotReply, error) {
+		Request: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
 			tried = request.Tried
-			return wire.SlotReply{Known: true, Replica: "x", Ticket: 3}, nil
+			return wire.PlaceReply{Known: true, Replica: "x", Ticket: 3}, nil
 		},
-		Release: func(wire.SlotRelease) {},
+		Release: func(wire.PlaceRelease) {},
 	}
 	b.handler.SetGateways(100)
 	b.do("GET", "placed", "")
--- a/src/exchange/restriction_test.go
+++ b/src/exchange/restriction_test.go
@@ -145,12 +145,12 @@
 	b := newSlotBench(t, &fakeSlots{err: errors.New("nobody assigns yet")}, closed, open)
 	b.close(closed, how)
 	b.handler.slotAssigner.unavailableUntil.Store(0)
-	unused := make(chan wire.SlotRelease, 64)
+	unused := make(chan wire.PlaceRelease, 64)
 	b.handler.options.Slots = Slots{
-		Request: func(context.Context, wire.SlotRequest) (wire.SlotReply, error) {
-			return wire.SlotReply{Known: true, Replica: "x", Ticket: 3}, nil
+		Request: func(context.Context, wire.PlaceRequest) (wire.PlaceReply, error) {
+			return wire.PlaceReply{Known: true, Replica: "x", Ticket: 3}, nil
 		},
-		Release: func(release wire.SlotRelease) { unused <- release },
+		Release: func(release wire.PlaceRelease) { unused <- release },
 	}
 	for i := range 5 {
 		if got := b.do("GET", fmt.Sprint("placed-", i), ""); got.status != http.StatusOK {
--- a/src/exchange/slot.go
+++ b/src/exchange/slot.go
@@ -12,9 +12,9 @@
 // Slots assigns slots of services that have fewer slots than there are gateways.
 type Slots struct {
 	// Request waits for a slot. It is nil if slots are not assigned.
-	Request func(ctx context.Context, request wire.SlotRequest) (wire.SlotReply, error)
+	Request func(ctx context.Context, request wire.PlaceRequest) (wire.PlaceReply, error)
 	// Release reports how a request with a slot ended. It may block for a while.
-	Release func(wire.SlotRelease)
+	Release func(wire.PlaceRelease)
 }
 
 const (
@@ -60,7 +60,7 @@
 		return Choice{}, false
 	}
 	maxWait := c.startedAt.Add(c.route.Target).Sub(now)
-	request := wire.SlotRequest{Service: c.service, Account: c.accountName(), Priority: c.priority(), WithinMS: maxWait.Milliseconds()}
+	request := wire.PlaceRequest{Service: c.service, Account: c.accountName(), Priority: c.priority(), WithinMS: maxWait.Milliseconds()}
 	for _, peer := range c.tried {
 		request.Tried = append(request.Tried, peer.ID())
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	h := c.handler
-	release := wire.SlotRelease{Service: c.service, Ticket: c.assignedSlot.ticket, Outcome: string(outcome), TookMS: h.options.Now().Sub(c.assignedSlot.startedAt).Milliseconds()}
+	release := wire.PlaceRelease{Service: c.service, Ticket: c.assignedSlot.ticket, Outcome: string(outcome), TookMS: h.options.Now().Sub(c.assignedSlot.startedAt).Milliseconds()}
 	c.assignedSlot = assignedSlot{}
 	go h.options.Slots.Release(release)
 }
--- a/src/exchange/slot_test.go
+++ b/src/exchange/slot_test.go
@@ -17,22 +17,22 @@
 
 // fakeSlots returns the reply set by a test and records the calls.
 type fakeSlots struct {
-	reply    wire.SlotReply
+	reply    wire.PlaceReply
 	err      error
-	asked    chan wire.SlotRequest
-	released chan wire.SlotRelease
+	asked    chan wire.PlaceRequest
+	released chan wire.PlaceRelease
 }
 
 // newSlotBench has fewer slots than gateways.
 func newSlotBench(t *testing.T, f *fakeSlots, replicas ...*fakeReplica) *bench {
-	f.asked, f.released = make(chan wire.SlotRequest, 8), make(chan wire.SlotRelease, 8)
+	f.asked, f.released = make(chan wire.PlaceRequest, 8), make(chan wire.PlaceRelease, 8)
 	b := newBench(t, route(catalog.Safe, 2), replicas...)
 	b.handler.options.Slots = Slots{
-		Request: func(_ context.Context, request wire.SlotRequest) (wire.SlotReply, error) {
+		Request: func(_ context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
 			f.asked <- request
 			return f.reply, f.err
 		},
-		Release: func(release wire.SlotRelease) { f.released <- release },
+		Release: func(release wire.PlaceRelease) { f.released <- release },
 	}
 	b.handler.SetGateways(100)
 	return b
@@ -41,7 +41,7 @@
 func TestRequestIsSentToAssignedReplica(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", whole), newReplica(t, "y", whole)
-	f := &fakeSlots{reply: wire.SlotReply{Known: true, Replica: "y", Ticket: 7}}
+	f := &fakeSlots{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
 	b := newSlotBench(t, f, x, y)
 	for range 5 {
 		is.Equal(b.do("GET", "one", "").status, http.StatusOK)
@@ -58,7 +58,7 @@
 func TestLimitedReplicaIsUsedBesideAssignedSlots(t *testing.T) {
 	is := is.New(t)
 	x, y := newReplica(t, "x", func(a arrival) bool { a.answer(200, "slow", testLimit+": 5"); return true }), newReplica(t, "y", whole)
-	f := &fakeSlots{reply: wire.SlotReply{Known: true, Replica: "y", Ticket: 7}}
+	f := &fakeSlots{reply: wire.PlaceReply{Known: true, Replica: "y", Ticket: 7}}
 	b := newSlotBench(t, f, x, y)
 	granted := true
 	b.handler.options.Permits.Request = func(_ context.Context, request wire.PermitRequest) (wire.PermitReply, error) {
@@ -79,7 +79,7 @@
 func TestRequestWithoutSlotIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", whole)
-	b := newSlotBench(t, &fakeSlots{reply: wire.SlotReply{Known: true, RetryMS: 420}}, x)
+	b := newSlotBench(t, &fakeSlots{reply: wire.PlaceReply{Known: true, RetryMS: 420}}, x)
 	got := b.do("GET", "one", "")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.header.Get("Retry-After"), "0.420")
@@ -112,7 +112,7 @@
 func TestAnotherSlotIsRequestedAfterRejection(t *testing.T) {
 	is := is.New(t)
 	x := newReplica(t, "x", notRunning)
-	f := &fakeSlots{reply: wire.SlotReply{Known: true, Replica: "x", Ticket: 1}}
+	f := &fakeSlots{reply: wire.PlaceReply{Known: true, Replica: "x", Ticket: 1}}
 	b := newSlotBench(t, f, x)
 	_ = b.do("GET", "one", "")
 	is.Equal(len((<-f.asked).Tried), 0)
--- a/src/feed/heartbeat.go
+++ b/src/feed/heartbeat.go
@@ -112,7 +112,7 @@
 }
 
 // handleNote saves a leaving replica's record that another node forwarded.
-func (p *Publisher) handleNote(_ context.Context, _ *rpc.Peer, request wire.DepartureRequest) (wire.Empty, error) {
+func (p *Publisher) handleNote(_ context.Context, _ *rpc.Peer, request wire.NoteRequest) (wire.Empty, error) {
 	p.mu.Lock()
 	if p.table.ApplyForwarded(p.now(), request.Record) {
 		p.notifyChanged()
--- a/src/feed/net_test.go
+++ b/src/feed/net_test.go
@@ -105,7 +105,7 @@
 			Leading:  func() bool { return node.leading.Load() },
 			Save:     node.save,
 			SendDeparture: func(ctx context.Context, address string, record registry.Record) error {
-				return n.clients[address].Call(ctx, wire.MethodDeparture, wire.DepartureRequest{Record: record}, nil)
+				return n.clients[address].Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
 			},
 		}
 		name := string(rune('a' + i))
--- a/src/feed/publisher.go
+++ b/src/feed/publisher.go
@@ -107,7 +107,7 @@
 func (p *Publisher) Register(mux *rpc.Mux) {
 	mux.Handle(wire.MethodWatchFeed, rpc.Typed(p.handleWatch))
 	mux.Handle(wire.MethodFetchDocument, rpc.Typed(p.handleFetchDocument))
-	mux.Handle(wire.MethodDeparture, rpc.Typed(p.handleNote))
+	mux.Handle(wire.MethodNote, rpc.Typed(p.handleNote))
 }
 
 // Recall restores the replicas that this node knew before it was restarted.
--- a/src/fleet/admission.go
+++ b/src/fleet/admission.go
@@ -53,7 +53,7 @@
 	mux.Handle(wire.MethodLease, rpc.Typed(func(_ context.Context, _ *rpc.Peer, request wire.LeaseRequest) (wire.LeaseReply, error) {
 		return c.granter.Lease(request), nil
 	}))
-	mux.Handle(wire.MethodReserve, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.ReserveRequest) (wire.ReserveReply, error) {
+	mux.Handle(wire.MethodDraw, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.DrawRequest) (wire.DrawReply, error) {
 		return c.granter.Reserve(ctx, request), nil
 	}))
 }
@@ -83,11 +83,11 @@
 }
 
 // askDraw asks the leader for quota that no control node holds.
-func (c *controlNode) askDraw(ctx context.Context, request wire.ReserveRequest) (wire.ReserveReply, error) {
+func (c *controlNode) askDraw(ctx context.Context, request wire.DrawRequest) (wire.DrawReply, error) {
 	if reply := c.granter.Reserve(ctx, request); reply.Admission != wire.AdmissionUnknown {
 		return reply, nil
 	}
-	var reply wire.ReserveReply
-	err := c.cluster.CallLeader(ctx, wire.MethodReserve, request, &reply)
+	var reply wire.DrawReply
+	err := c.cluster.CallLeader(ctx, wire.MethodDraw, request, &reply)
 	return reply, err
 }
--- a/src/fleet/control.go
+++ b/src/fleet/control.go
@@ -243,8 +243,8 @@
 	c.proc.Mux().Handle(wire.MethodLoad, rpc.Typed(c.handleLoad))
 	c.proc.Mux().Handle(wire.MethodLoadSum, rpc.Typed(c.handleLoadSum))
 	c.backlog = loadview.NewBacklog()
-	c.proc.Mux().Handle(wire.MethodSentPrompts, rpc.Typed(c.handleSent))
-	c.proc.Mux().Handle(wire.MethodSentPromptsSum, rpc.Typed(c.handleSentSum))
+	c.proc.Mux().Handle(wire.MethodSent, rpc.Typed(c.handleSent))
+	c.proc.Mux().Handle(wire.MethodSentSum, rpc.Typed(c.handleSentSum))
 	c.restoreQuarantine()
 	c.proc.Mux().Handle(wire.MethodQuarantine, rpc.Typed(c.handleQuarantine))
 	c.proc.Mux().Handle(wire.MethodQuarantineList, rpc.Typed(c.listQuarantine))
@@ -299,7 +299,7 @@
 func (c *controlNode) sendRecord(ctx context.Context, address string, record registry.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	return c.links.Client(address).Call(ctx, wire.MethodDeparture, wire.DepartureRequest{Record: record}, nil)
+	return c.links.Client(address).Call(ctx, wire.MethodNote, wire.NoteRequest{Record: record}, nil)
 }
 
 // serve runs the node until a signal or a disk failure.
--- a/src/fleet/gateway.go
+++ b/src/fleet/gateway.go
@@ -270,7 +270,7 @@
 		case <-g.fleet.PromptsSent():
 		}
 		time.Sleep(loadview.BacklogBatchDelay)
-		g.follower.NotifyBest(ctx, wire.MethodSentPrompts, g.fleet.DrainPrompts())
+		g.follower.NotifyBest(ctx, wire.MethodSent, g.fleet.DrainPrompts())
 	}
 }
 
--- a/src/fleet/share.go
+++ b/src/fleet/share.go
@@ -68,13 +68,13 @@
 }
 
 // handleSent handles a gateway's report on the prompts that it has sent.
-func (c *controlNode) handleSent(_ context.Context, _ *rpc.Peer, report wire.SentPromptsReport) (wire.Empty, error) {
+func (c *controlNode) handleSent(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
 	c.backlog.Add(clock.Now(), report.Sent, true)
 	return wire.Empty{}, nil
 }
 
 // handleSentSum handles the prompts sent by the gateways of another control node.
-func (c *controlNode) handleSentSum(_ context.Context, _ *rpc.Peer, report wire.SentPromptsReport) (wire.Empty, error) {
+func (c *controlNode) handleSentSum(_ context.Context, _ *rpc.Peer, report wire.SentReport) (wire.Empty, error) {
 	c.backlog.Add(clock.Now(), report.Sent, false)
 	return wire.Empty{}, nil
 }
@@ -88,9 +88,9 @@
 		case <-c.backlog.Forwardable():
 		}
 		time.Sleep(loadview.BacklogBatchDelay)
-		own := wire.SentPromptsReport{Sent: c.backlog.TakeOwn()}
+		own := wire.SentReport{Sent: c.backlog.TakeOwn()}
 		for _, address := range c.cluster.Peers() {
-			go c.notify(ctx, address, wire.MethodSentPromptsSum, own)
+			go c.notify(ctx, address, wire.MethodSentSum, own)
 		}
 	}
 }
--- a/src/fleet/slots.go
+++ b/src/fleet/slots.go
@@ -12,13 +12,13 @@
 )
 
 // requestSlot asks the nearest control node to assign a slot at a replica.
-func (g *gateway) requestSlot(ctx context.Context, request wire.SlotRequest) (wire.SlotReply, error) {
-	return feed.CallBest[wire.SlotReply](ctx, g.follower, wire.MethodSlot, request)
+func (g *gateway) requestSlot(ctx context.Context, request wire.PlaceRequest) (wire.PlaceReply, error) {
+	return feed.CallBest[wire.PlaceReply](ctx, g.follower, wire.MethodPlace, request)
 }
 
 // releaseSlot reports how a request with a slot ended. If the report is lost, the slot is
 // released by a timeout.
-func (g *gateway) releaseSlot(release wire.SlotRelease) {
+func (g *gateway) releaseSlot(release wire.PlaceRelease) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	g.follower.NotifyBest(ctx, wire.MethodRelease, release)
@@ -28,49 +28,49 @@
 func (c *controlNode) buildDispatchers() {
 	c.dispatchers = dispatch.NewDispatchers(clock.Now)
 	mux := c.proc.Mux()
-	mux.Handle(wire.MethodSlot, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.SlotRequest) (wire.SlotReply, error) {
+	mux.Handle(wire.MethodPlace, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.PlaceRequest) (wire.PlaceReply, error) {
 		if c.cluster.Leadership().Self {
 			return c.assign(ctx, request), nil
 		}
-		var reply wire.SlotReply
+		var reply wire.PlaceReply
 		err := c.cluster.CallLeader(ctx, wire.MethodAssign, request, &reply)
 		return reply, err
 	}))
-	mux.Handle(wire.MethodAssign, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.SlotRequest) (wire.SlotReply, error) {
+	mux.Handle(wire.MethodAssign, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, request wire.PlaceRequest) (wire.PlaceReply, error) {
 		if !c.cluster.Leadership().Self {
-			return wire.SlotReply{}, nil
+			return wire.PlaceReply{}, nil
 		}
 		return c.assign(ctx, request), nil
 	}))
-	mux.Handle(wire.MethodRelease, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, release wire.SlotRelease) (wire.Empty, error) {
+	mux.Handle(wire.MethodRelease, rpc.Typed(func(ctx context.Context, _ *rpc.Peer, release wire.PlaceRelease) (wire.Empty, error) {
 		c.handleRelease(release)
 		go c.forwardRelease(release)
 		return wire.Empty{}, nil
 	}))
-	mux.Handle(wire.MethodReleased, rpc.Typed(func(_ context.Context, _ *rpc.Peer, release wire.SlotRelease) (wire.Empty, error) {
+	mux.Handle(wire.MethodReleased, rpc.Typed(func(_ context.Context, _ *rpc.Peer, release wire.PlaceRelease) (wire.Empty, error) {
 		c.handleRelease(release)
 		return wire.Empty{}, nil
 	}))
 }
 
 // assign waits for a slot and returns it.
-func (c *controlNode) assign(ctx context.Context, request wire.SlotRequest) wire.SlotReply {
+func (c *controlNode) assign(ctx context.Context, request wire.PlaceRequest) wire.PlaceReply {
 	ask := dispatch.Request{Account: request.Account, Priority: request.Priority, TimeLeft: request.TimeLeft(), Tried: request.Tried}
 	assignment, err := c.dispatchers.Request(ctx, request.Service, ask)
 	if err != nil {
-		return wire.SlotReply{}
+		return wire.PlaceReply{}
 	}
-	return wire.SlotReply{Known: true, Replica: assignment.Replica, Ticket: assignment.Ticket, RetryMS: assignment.RetryAfter.Milliseconds()}
+	return wire.PlaceReply{Known: true, Replica: assignment.Replica, Ticket: assignment.Ticket, RetryMS: assignment.RetryAfter.Milliseconds()}
 }
 
 // handleRelease handles a release; a node that does not lead does not know the ticket and ignores
 // it.
-func (c *controlNode) handleRelease(release wire.SlotRelease) {
+func (c *controlNode) handleRelease(release wire.PlaceRelease) {
 	c.dispatchers.Release(release.Service, release.Ticket, dispatch.Outcome(release.Outcome), time.Duration(release.TookMS)*time.Millisecond)
 }
 
 // forwardRelease forwards a release to the leader, if that is another node.
-func (c *controlNode) forwardRelease(release wire.SlotRelease) {
+func (c *controlNode) forwardRelease(release wire.PlaceRelease) {
 	lead := c.cluster.Leadership()
 	if lead.Self || lead.Address == "" {
 		return
--- a/src/process/process.go
+++ b/src/process/process.go
@@ -75,7 +75,7 @@
 	p.ring.SetWriter(writer)
 	if settings.Faults {
 		p.cut = &fault.Cut{}
-		p.mux.Handle(wire.MethodPartition, rpc.Typed(p.setCut))
+		p.mux.Handle(wire.MethodCut, rpc.Typed(p.setCut))
 	}
 	p.mux.Handle(wire.MethodStatus, rpc.Typed(p.answerStatus))
 	p.mux.Handle(wire.MethodEvents, rpc.Typed(p.answerEvents))
@@ -163,7 +163,7 @@
 }
 
 // setCut changes the simulated network cut.
-func (p *Process) setCut(_ context.Context, _ *rpc.Peer, request wire.PartitionRequest) (wire.Empty, error) {
+func (p *Process) setCut(_ context.Context, _ *rpc.Peer, request wire.CutRequest) (wire.Empty, error) {
 	p.cut.Set(request.Prefixes)
 	p.ring.Add(event.Event{Kind: event.FaultSwitched, Reason: "cut"})
 	return wire.Empty{}, nil
--- a/src/rpc/mux.go
+++ b/src/rpc/mux.go
@@ -29,7 +29,8 @@
 // Has reports whether a method is registered.
 func (m *Mux) Has(method string) bool { return m.methods[method] != nil }
 
-// Typed returns a handler that decodes its parameters as P.
+// Typed returns a handler that decodes its parameters as P. The error for malformed parameters contains the Go
+// name of P or of a type nested in it, so renaming such a type changes the reply.
 func Typed[P, R any](f func(ctx context.Context, peer *Peer, params P) (R, error)) Handler {
 	return func(ctx context.Context, peer *Peer, raw json.RawMessage) (any, error) {
 		var params P
--- a/src/wire/admission.go
+++ b/src/wire/admission.go
@@ -75,14 +75,14 @@
 	ExtensionUsed float64   `json:"e,omitempty"`
 }
 
-// ReserveRequest asks the leader for units outside the control nodes' shares.
-type ReserveRequest struct {
+// DrawRequest asks the leader to reserve quota units outside the control nodes' shares.
+type DrawRequest struct {
 	Account string  `json:"a"`
 	Units   float64 `json:"u"`
 }
 
-// ReserveReply is the reply to a ReserveRequest.
-type ReserveReply struct {
+// DrawReply is the reply to a DrawRequest: the outcome of reserving the units.
+type DrawReply struct {
 	Admission Admission `json:"r,omitempty"`
 	WaitMS    int64     `json:"w,omitempty"`
 }
--- a/src/wire/control.go
+++ b/src/wire/control.go
@@ -155,13 +155,14 @@
 	Reason  string       `json:"reason,omitempty"`
 }
 
-// LogIndexRequest asks how much of the log a control node is known to have stored.
-type LogIndexRequest struct {
+// HeldRequest asks for the last log index that a control node is known to have stored.
+type HeldRequest struct {
 	ID raft.ID `json:"id"`
 }
 
-// LogIndexReply is the reply to a LogIndexRequest. Known is false if the responding node cannot tell.
-type LogIndexReply struct {
+// HeldReply is the reply to a HeldRequest: the current term and the last log index that the asked-about node is
+// known to have stored. Known is false if the responding node cannot tell.
+type HeldReply struct {
 	Known  bool   `json:"known"`
 	Term   uint64 `json:"term"`
 	Index  uint64 `json:"index"`
@@ -176,7 +177,7 @@
 	SeenAt time.Time `json:"seenAt"`
 }
 
-// LiveNodesReport lists the processes a control node receives heartbeats from. It is sent to the leader.
-type LiveNodesReport struct {
+// SeenReport lists the live processes, those a control node receives heartbeats from. It is sent to the leader.
+type SeenReport struct {
 	Nodes []string `json:"nodes"`
 }
--- a/src/wire/dispatch.go
+++ b/src/wire/dispatch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SlotRequest asks for a slot on one of a service's replicas.
-type SlotRequest struct {
+// PlaceRequest asks for a slot on one of a service's replicas.
+type PlaceRequest struct {
 	Service  string `json:"s"`
 	Account  string `json:"a,omitempty"`
 	Priority int    `json:"p,omitempty"`
@@ -14,10 +14,11 @@
 }
 
 // TimeLeft returns the time within which the request should be answered.
-func (r *SlotRequest) TimeLeft() time.Duration { return time.Duration(r.WithinMS) * time.Millisecond }
+func (r *PlaceRequest) TimeLeft() time.Duration { return time.Duration(r.WithinMS) * time.Millisecond }
 
-// SlotReply is the reply to a SlotRequest. Known is false if no reachable node assigns slots.
-type SlotReply struct {
+// PlaceReply is the reply to a PlaceRequest: the assigned slot. Known is false if no reachable node assigns
+// slots.
+type PlaceReply struct {
 	Known bool `json:"k,omitempty"`
 	// Replica is "" if no slot becomes free in time. The request should then be repeated after RetryMS
 	// milliseconds.
@@ -26,8 +27,8 @@
 	RetryMS int64  `json:"w,omitempty"`
 }
 
-// SlotRelease reports how a request that had a slot ended.
-type SlotRelease struct {
+// PlaceRelease releases a slot and reports how the request that had it ended.
+type PlaceRelease struct {
 	Service string `json:"s"`
 	Ticket  uint64 `json:"t"`
 	// Outcome is an outcome defined by package dispatch.
--- a/src/wire/document.go
+++ b/src/wire/document.go
@@ -102,8 +102,8 @@
 	Zone string `json:"zone,omitempty"`
 }
 
-// DepartureRequest reports that a replica is leaving.
-type DepartureRequest struct {
+// NoteRequest reports the departure of a replica to a control node.
+type NoteRequest struct {
 	Record registry.Record `json:"record"`
 }
 
--- a/src/wire/load.go
+++ b/src/wire/load.go
@@ -18,8 +18,8 @@
 	UnreadMS int `json:"u,omitempty"`
 }
 
-// SentPromptsReport lists prompts that were sent to replicas.
-type SentPromptsReport struct {
+// SentReport lists the prompts that a gateway, or a control node's gateways, sent to replicas.
+type SentReport struct {
 	Sent []Sent `json:"s"`
 }
 
--- a/src/wire/method.go
+++ b/src/wire/method.go
@@ -20,13 +20,13 @@
 	MethodGrant = "control.grant"
 	// MethodHeartbeat reports to the control nodes that a process is alive.
 	MethodHeartbeat = "control.heartbeat"
-	// MethodLiveNodes tells the leader which processes a control node receives heartbeats from
+	// MethodSeen tells the leader which processes a control node receives heartbeats from
 	// (notification).
-	MethodLiveNodes = "control.seen"
+	MethodSeen = "control.seen"
 	// MethodMembers changes the membership of the control nodes.
 	MethodMembers = "control.members"
-	// MethodLogIndex asks the leader how much a control node is known to have stored.
-	MethodLogIndex = "control.held"
+	// MethodHeld asks the leader how much a control node is known to have stored.
+	MethodHeld = "control.held"
 	// MethodPutDocument asks to put a complete configuration into effect.
 	MethodPutDocument = "document.put"
 	// MethodReadDocument asks the leader for the newest accepted configuration.
@@ -45,8 +45,8 @@
 	MethodFeed = "feed.update"
 	// MethodFetchDocument asks a control node for the configuration it has applied.
 	MethodFetchDocument = "feed.document"
-	// MethodDeparture tells a control node that a replica is leaving.
-	MethodDeparture = "feed.note"
+	// MethodNote tells a control node that a replica is leaving.
+	MethodNote = "feed.note"
 	// MethodUsage tells a control node the demand of a gateway's requests (notification).
 	MethodUsage = "feed.usage"
 	// MethodUsageSum tells another control node the combined demand of a control node's gateways (notification).
@@ -58,21 +58,21 @@
 	// MethodLoadSum tells another control node which requests a control node's gateways have in flight
 	// (notification).
 	MethodLoadSum = "load.sum"
-	// MethodSentPrompts tells a control node which prompts a gateway has sent to replicas (notification).
-	MethodSentPrompts = "load.sent"
-	// MethodSentPromptsSum tells another control node which prompts a control node's gateways have sent to
+	// MethodSent tells a control node which prompts a gateway has sent to replicas (notification).
+	MethodSent = "load.sent"
+	// MethodSentSum tells another control node which prompts a control node's gateways have sent to
 	// replicas (notification).
-	MethodSentPromptsSum = "load.sentSum"
+	MethodSentSum = "load.sentSum"
 	// MethodBacklogs tells a gateway the prompt backlogs of replicas (notification).
 	MethodBacklogs = "load.backlogs"
 	// MethodAdmit asks a control node to admit a request of a client account.
 	MethodAdmit = "quota.admit"
 	// MethodLease asks the leader for a control node's shares of all accounts' quotas.
 	MethodLease = "quota.lease"
-	// MethodReserve asks the leader for units outside the control nodes' shares.
-	MethodReserve = "quota.draw"
-	// MethodSlot asks a control node for a slot on one of a service's replicas.
-	MethodSlot = "dispatch.place"
+	// MethodDraw asks the leader for units outside the control nodes' shares.
+	MethodDraw = "quota.draw"
+	// MethodPlace asks a control node for a slot on one of a service's replicas.
+	MethodPlace = "dispatch.place"
 	// MethodAssign asks the leader for such a slot.
 	MethodAssign = "dispatch.assign"
 	// MethodRelease tells a control node how a request that had a slot ended (notification).
@@ -96,8 +96,8 @@
 	MethodStatus = "process.status"
 	// MethodEvents asks for a process's events.
 	MethodEvents = "process.events"
-	// MethodPartition sets the network partition that a test simulates in a process.
-	MethodPartition = "process.cut"
+	// MethodCut sets the network partition that a test simulates in a process.
+	MethodCut = "process.cut"
 	// MethodWatchRoutes starts a stream of MethodRoutes notifications.
 	MethodWatchRoutes = "planner.watch"
 	// MethodRoutes carries a RoutesUpdate (notification).
--- a/src/wire/process.go
+++ b/src/wire/process.go
@@ -83,8 +83,8 @@
 	Events []event.Event `json:"events"`
 }
 
-// PartitionRequest sets the address prefixes a process cannot reach, to simulate a network partition.
-type PartitionRequest struct {
+// CutRequest sets the address prefixes a process cannot reach, to simulate a network partition.
+type CutRequest struct {
 	Prefixes []string `json:"prefixes"`
 }
 
