--- a/src/capacity/measure.go
+++ b/src/capacity/measure.go
@@ -304,7 +304,7 @@
 	}
 	objects := []config.Object{
 		{Key: config.Key{Kind: config.KindPool, Name: "load-pool"}, Pool: &pool},
-		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Objective: config.ObjectiveAttainment, Store: config.Store{LoadsPerSecond: 400, FullSpeed: 1000}}},
+		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: config.WeighAttainment, Store: config.Store{LoadsPerSecond: 400, FullSpeed: 1000}}},
 	}
 	for i := from; i < to; i++ {
 		name := fmt.Sprint("load-", i)
--- a/src/cli/show.go
+++ b/src/cli/show.go
@@ -133,7 +133,7 @@
 	}
 }
 
-func costText(cost wire.ProcessUsage) string {
+func costText(cost wire.ControlCost) string {
 	uptime := max(cost.Uptime.Std().Seconds(), 1)
 	share := 100 * cost.CPU.Std().Seconds() / uptime
 	rate := float64(cost.BytesIn+cost.BytesOut) / uptime
--- a/src/config/check.go
+++ b/src/config/check.go
@@ -174,7 +174,7 @@
 	if key.Name != "default" {
 		c.report(key, "name", "the only policy is named default")
 	}
-	if policy.Objective != ObjectiveAttainment && policy.Objective != ObjectiveMoves {
+	if policy.Weigh != WeighAttainment && policy.Weigh != WeighMoves {
 		c.report(key, "weigh", "weigh must be attainment or moves")
 	}
 	if policy.Store.LoadsPerSecond <= 0 || policy.Store.FullSpeed < 1 {
--- a/src/config/object.go
+++ b/src/config/object.go
@@ -139,17 +139,17 @@
 
 // Policy holds the settings of the whole installation. Its name is "default".
 type Policy struct {
-	Objective Objective `json:"weigh" yaml:"weigh"`
-	Store     Store     `json:"store" yaml:"store"`
+	Weigh Weigh `json:"weigh" yaml:"weigh"`
+	Store Store `json:"store" yaml:"store"`
 }
 
-// Objective is the goal that placement prefers when goals conflict.
-type Objective string
+// Weigh names the goal that placement prefers when goals conflict.
+type Weigh string
 
 // The goals: requests that meet their target, or few loads and unloads of models.
 const (
-	ObjectiveAttainment Objective = "attainment"
-	ObjectiveMoves      Objective = "moves"
+	WeighAttainment Weigh = "attainment"
+	WeighMoves      Weigh = "moves"
 )
 
 // Store holds the limits of the weight store.
--- a/src/config/set.go
+++ b/src/config/set.go
@@ -106,7 +106,7 @@
 	for _, object := range s.OfKind(KindPolicy) {
 		return *object.Policy
 	}
-	return Policy{Objective: ObjectiveAttainment, Store: Store{LoadsPerSecond: 1, FullSpeed: 1}}
+	return Policy{Weigh: WeighAttainment, Store: Store{LoadsPerSecond: 1, FullSpeed: 1}}
 }
 
 // AssignedZones returns the availability zones in which a model is placed.
--- a/src/emulator/install.go
+++ b/src/emulator/install.go
@@ -273,7 +273,7 @@
 // longer than the demo.
 func (i *Install) planWarmCopies() {
 	for _, zone := range i.zones {
-		in := place.Input{SpareCopies: true, Objective: config.ObjectiveMoves, MaxLoads: len(i.set.ModelNames())}
+		in := place.Input{SpareCopies: true, Weigh: config.WeighMoves, MaxLoads: len(i.set.ModelNames())}
 		for _, object := range i.set.OfKind(config.KindPool) {
 			if i.set.Service(object.Key.Name) == nil {
 				in.Accelerators = append(in.Accelerators, zoneAccelerators(object, zone)...)
--- a/src/exchange/demand.go
+++ b/src/exchange/demand.go
@@ -15,7 +15,7 @@
 // use.
 type Demand struct {
 	mu     sync.Mutex
-	asked  map[demandKey]*wire.ModelUsage
+	asked  map[demandKey]*wire.Asked
 	any    wakeup.Flag
 	urgent wakeup.Flag
 }
@@ -28,7 +28,7 @@
 
 // NewDemand returns an empty Demand.
 func NewDemand() *Demand {
-	return &Demand{asked: map[demandKey]*wire.ModelUsage{}, any: wakeup.New(), urgent: wakeup.New()}
+	return &Demand{asked: map[demandKey]*wire.Asked{}, any: wakeup.New(), urgent: wakeup.New()}
 }
 
 // Count counts a request; missing means that the request found no copy of its model and waits for
@@ -50,11 +50,11 @@
 }
 
 // count returns the counts of a model or adapter; the lock is held.
-func (d *Demand) count(service, model, adapter string) *wire.ModelUsage {
+func (d *Demand) count(service, model, adapter string) *wire.Asked {
 	key := demandKey{service, model, adapter}
 	asked := d.asked[key]
 	if asked == nil {
-		asked = &wire.ModelUsage{Service: service, Model: model, Adapter: adapter}
+		asked = &wire.Asked{Service: service, Model: model, Adapter: adapter}
 		d.asked[key] = asked
 	}
 	d.any.Raise()
@@ -62,7 +62,7 @@
 }
 
 // Add adds the counts of other gateways.
-func (d *Demand) Add(models []wire.ModelUsage) {
+func (d *Demand) Add(models []wire.Asked) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range models {
@@ -84,13 +84,13 @@
 func (d *Demand) MissingCopy() <-chan struct{} { return d.urgent.Raised() }
 
 // Drain returns and resets the counts.
-func (d *Demand) Drain() []wire.ModelUsage {
+func (d *Demand) Drain() []wire.Asked {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := make([]wire.ModelUsage, 0, len(d.asked))
+	all := make([]wire.Asked, 0, len(d.asked))
 	for _, asked := range d.asked {
 		all = append(all, *asked)
 	}
-	d.asked = map[demandKey]*wire.ModelUsage{}
+	d.asked = map[demandKey]*wire.Asked{}
 	return all
 }
--- a/src/exchange/demand_test.go
+++ b/src/exchange/demand_test.go
@@ -22,12 +22,12 @@
 		t.Error("a missing copy is urgent")
 	}
 	first := d.Drain()
-	is.Equal(first, []wire.ModelUsage{{Service: "s", Model: "m", Adapter: "a1", Requests: 2, Tokens: 240, Missing: 1}})
+	is.Equal(first, []wire.Asked{{Service: "s", Model: "m", Adapter: "a1", Requests: 2, Tokens: 240, Missing: 1}})
 	is.Equal(len(d.Drain()), 0)
 	sum := NewDemand()
 	sum.Add(first)
 	sum.Add(first)
-	is.Equal(sum.Drain(), []wire.ModelUsage{{Service: "s", Model: "m", Adapter: "a1", Requests: 4, Tokens: 480, Missing: 2}})
+	is.Equal(sum.Drain(), []wire.Asked{{Service: "s", Model: "m", Adapter: "a1", Requests: 4, Tokens: 480, Missing: 2}})
 	is.Equal(len(sum.Drain()), 0)
 	select {
 	case <-sum.MissingCopy():
--- a/src/exchange/fake_test.go
+++ b/src/exchange/fake_test.go
@@ -253,7 +253,7 @@
 func (b *bench) register(replicas ...*fakeReplica) {
 	var entries []registry.Entry
 	for _, f := range replicas {
-		entries = append(entries, registry.Entry{Record: registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: f.zone, ColdMS: f.coldMS, Slots: 4, Models: []registry.LoadedModel{{Name: "m"}}}})
+		entries = append(entries, registry.Entry{Record: registry.Record{ID: f.id, Service: "s", Address: f.listener.Addr().String(), Zone: f.zone, ColdMS: f.coldMS, Slots: 4, Models: []registry.Held{{Name: "m"}}}})
 	}
 	b.fleet.SetReplicas(registry.Changes{Entries: entries})
 }
--- a/src/exchange/fleet_bench_test.go
+++ b/src/exchange/fleet_bench_test.go
@@ -16,7 +16,7 @@
 func benchEntry(i int, sequence uint64) registry.Entry {
 	record := registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Zone: "z", Slots: 64, Sequence: sequence}
 	for m := range 3 {
-		held := registry.LoadedModel{Name: fmt.Sprint("m", i*3+m)}
+		held := registry.Held{Name: fmt.Sprint("m", i*3+m)}
 		for a := range 3 {
 			held.Adapters = append(held.Adapters, fmt.Sprint("a", a))
 		}
--- a/src/exchange/fleet_test.go
+++ b/src/exchange/fleet_test.go
@@ -19,7 +19,7 @@
 	f := NewFleet("z", Dial, nil, func() time.Time { return noon }, func() time.Time { return noon })
 	var entries []registry.Entry
 	for _, id := range ids {
-		entries = append(entries, registry.Entry{Record: registry.Record{ID: id, Service: "s", Zone: "z", Slots: 64, Models: []registry.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}}})
+		entries = append(entries, registry.Entry{Record: registry.Record{ID: id, Service: "s", Zone: "z", Slots: 64, Models: []registry.Held{{Name: "m", Adapters: []string{"a1"}}}}})
 	}
 	f.SetReplicas(registry.Changes{Entries: entries})
 	return f
@@ -183,7 +183,7 @@
 	record := registry.Record{ID: id, Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service")}
 	for _, model := range []string{"m", "n"} {
 		if rapid.Bool().Draw(t, "has") {
-			record.Models = append(record.Models, registry.LoadedModel{Name: model, Adapters: rapid.SampledFrom([][]string{nil, {"a1"}}).Draw(t, "adapters")})
+			record.Models = append(record.Models, registry.Held{Name: model, Adapters: rapid.SampledFrom([][]string{nil, {"a1"}}).Draw(t, "adapters")})
 		}
 	}
 	return registry.Entry{Record: record, Silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0}
--- a/src/fleet/usage.go
+++ b/src/fleet/usage.go
@@ -65,8 +65,8 @@
 }
 
 // withoutMissing removes the counts of missing copies, on which only the leader acts.
-func withoutMissing(models []wire.ModelUsage) []wire.ModelUsage {
-	reduced := make([]wire.ModelUsage, 0, len(models))
+func withoutMissing(models []wire.Asked) []wire.Asked {
+	reduced := make([]wire.Asked, 0, len(models))
 	for _, asked := range models {
 		asked.Missing = 0
 		reduced = append(reduced, asked)
--- a/src/place/plan.go
+++ b/src/place/plan.go
@@ -56,7 +56,7 @@
 	Models       []Model
 	Accelerators []Accelerator
 	Copies       []Copy
-	Objective    config.Objective
+	Weigh        config.Weigh
 	// MaxLoads is the number of loads that may start now. Loads for models without a copy go before
 	// those that add copies.
 	MaxLoads int
@@ -171,7 +171,7 @@
 
 // maxUtilization returns the utilization above which another copy is added.
 func (p *planner) maxUtilization() float64 {
-	if p.in.Objective == config.ObjectiveMoves {
+	if p.in.Weigh == config.WeighMoves {
 		return maxUtilizationMoves
 	}
 	return maxUtilizationAttainment
--- a/src/placer/fake_replica_test.go
+++ b/src/placer/fake_replica_test.go
@@ -49,7 +49,7 @@
 	at         time.Time
 	orderCount uint64
 	busy       bool
-	models     []registry.LoadedModel
+	models     []registry.Held
 }
 
 // record adds the current state to the history.
@@ -199,16 +199,16 @@
 	return Accepted
 }
 
-func (f *fakeReplica) held() []registry.LoadedModel {
-	var list []registry.LoadedModel
+func (f *fakeReplica) held() []registry.Held {
+	var list []registry.Held
 	for name, adapters := range f.models {
-		held := registry.LoadedModel{Name: name}
+		held := registry.Held{Name: name}
 		for adapter := range adapters {
 			held.Adapters = append(held.Adapters, adapter)
 		}
 		sort.Strings(held.Adapters)
 		list = append(list, held)
 	}
-	slices.SortFunc(list, func(a, b registry.LoadedModel) int { return len(a.Name) - len(b.Name) })
+	slices.SortFunc(list, func(a, b registry.Held) int { return len(a.Name) - len(b.Name) })
 	return list
 }
--- a/src/placer/ledger.go
+++ b/src/placer/ledger.go
@@ -110,7 +110,7 @@
 
 // reconcile updates the ledger with the copies that the replica lists. Copies that were ordered
 // recently stay in the ledger even if the replica does not list them yet.
-func (r *replicaState) reconcile(now time.Time, models []registry.LoadedModel, fromReport bool) {
+func (r *replicaState) reconcile(now time.Time, models []registry.Held, fromReport bool) {
 	reported := map[string]bool{}
 	for _, held := range models {
 		reported[held.Name] = true
--- a/src/placer/order.go
+++ b/src/placer/order.go
@@ -62,7 +62,7 @@
 	StartedMS int64
 	Sequence  uint64
 	Busy      bool
-	Models    []registry.LoadedModel
+	Models    []registry.Held
 	// Pending are the adapters being loaded.
 	Pending      []AdapterName
 	Availability Availability
--- a/src/placer/placer_bench_test.go
+++ b/src/placer/placer_bench_test.go
@@ -42,7 +42,7 @@
 	entry := func(i int, sequence uint64) registry.Entry {
 		record := registry.Record{ID: fmt.Sprintf("i-%04d", i), Service: "s", Address: fmt.Sprint(i), Zone: fmt.Sprint(i % 5), Slots: 64, Sequence: sequence}
 		for k := range 3 {
-			record.Models = append(record.Models, registry.LoadedModel{Name: fmt.Sprint("m", (i*3+k)%models), Adapters: []string{"a1", "a2"}})
+			record.Models = append(record.Models, registry.Held{Name: fmt.Sprint("m", (i*3+k)%models), Adapters: []string{"a1", "a2"}})
 		}
 		return registry.Entry{Record: record}
 	}
@@ -50,7 +50,7 @@
 		p.SetReplicas(registry.Changes{Entries: []registry.Entry{entry(i, 1)}})
 	}
 	for m := range models {
-		p.RecordUsage(wire.Usage{Models: []wire.ModelUsage{{Service: "s", Model: fmt.Sprint("m", m), Requests: 1 + m%20, Tokens: 2000 * (1 + m%20)}}})
+		p.RecordUsage(wire.Usage{Models: []wire.Asked{{Service: "s", Model: fmt.Sprint("m", m), Requests: 1 + m%20, Tokens: 2000 * (1 + m%20)}}})
 	}
 	return p, entry
 }
--- a/src/placer/placer_test.go
+++ b/src/placer/placer_test.go
@@ -339,7 +339,7 @@
 }
 
 func holds(f *fakeReplica, model string) bool {
-	return slices.ContainsFunc(f.held(), func(h registry.LoadedModel) bool { return h.Name == model })
+	return slices.ContainsFunc(f.held(), func(h registry.Held) bool { return h.Name == model })
 }
 
 // TestEveryRequestedModelGetsACopy checks that, with room for every requested model, all of them
--- a/src/placer/simulation_test.go
+++ b/src/placer/simulation_test.go
@@ -173,7 +173,7 @@
 }
 
 func (sim *simulation) request(model, adapter string, requests, tokens int, missing int) {
-	sim.placer.RecordUsage(wire.Usage{Models: []wire.ModelUsage{{Service: "s", Model: model, Adapter: adapter, Requests: requests, Tokens: tokens, Missing: missing}}})
+	sim.placer.RecordUsage(wire.Usage{Models: []wire.Asked{{Service: "s", Model: model, Adapter: adapter, Requests: requests, Tokens: tokens, Missing: missing}}})
 }
 
 func testEngine() *catalog.Engine {
--- a/src/planner/input.go
+++ b/src/planner/input.go
@@ -47,7 +47,7 @@
 
 // Input returns everything that the next plan depends on.
 func (z *Zone) Input(now time.Time) place.Input {
-	in := place.Input{SpareCopies: true, Accelerators: z.accelerators(), Objective: z.policy.Objective, MaxLoads: z.allowedLoads(now)}
+	in := place.Input{SpareCopies: true, Accelerators: z.accelerators(), Weigh: z.policy.Weigh, MaxLoads: z.allowedLoads(now)}
 	for _, model := range z.set.ModelNames() {
 		if slices.Contains(z.set.AssignedZones(model), z.name) {
 			in.Models = append(in.Models, z.model(model))
--- a/src/planner/zone_bench_test.go
+++ b/src/planner/zone_bench_test.go
@@ -17,7 +17,7 @@
 	hostCount, modelCount := int(130*scale), int(1300*scale)
 	objects := []config.Object{
 		{Key: config.Key{Kind: config.KindPool, Name: "p"}, Pool: &config.Pool{Zones: []config.PoolZone{{Zone: "z", Replicas: hostCount}}, Accelerators: 8, Memory: 80 * config.GiB, ChecksOrders: true}},
-		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Objective: config.ObjectiveAttainment, Store: config.Store{LoadsPerSecond: 1e6, FullSpeed: 1e6}}},
+		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: config.WeighAttainment, Store: config.Store{LoadsPerSecond: 1e6, FullSpeed: 1e6}}},
 	}
 	for i := 0; i < modelCount; i++ {
 		name := fmt.Sprint("m", i)
--- a/src/planner/zone_test.go
+++ b/src/planner/zone_test.go
@@ -130,7 +130,7 @@
 func testConfig(version string, adapters int) *config.Set {
 	objects := []config.Object{
 		{Key: config.Key{Kind: config.KindPool, Name: "p"}, Pool: &config.Pool{Zones: []config.PoolZone{{Zone: "z", Replicas: hostCount}}, Accelerators: 1, Memory: 72, ChecksOrders: true}},
-		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Objective: config.ObjectiveAttainment, Store: config.Store{LoadsPerSecond: 5, FullSpeed: 5}}},
+		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: config.WeighAttainment, Store: config.Store{LoadsPerSecond: 5, FullSpeed: 5}}},
 	}
 	for i := 0; i < 6; i++ {
 		name := fmt.Sprint("m", i)
--- a/src/policy/bench.go
+++ b/src/policy/bench.go
@@ -142,7 +142,7 @@
 	}
 	objects := []config.Object{
 		{Key: config.Key{Kind: config.KindPool, Name: "engines"}, Pool: &pool},
-		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Objective: b.e.Objective, Store: b.e.Store}},
+		{Key: config.Key{Kind: config.KindPolicy, Name: "default"}, Policy: &config.Policy{Weigh: b.e.Weigh, Store: b.e.Store}},
 	}
 	for i := 0; i < b.e.Models; i++ {
 		name := fmt.Sprintf("m%04d", i)
--- a/src/policy/experiment.go
+++ b/src/policy/experiment.go
@@ -16,14 +16,14 @@
 	Duration config.Duration `yaml:"duration"`
 	Zones    int             `yaml:"zones"`
 	// Hosts is the number of engines in each zone, with one accelerator each.
-	Hosts     int              `yaml:"hosts"`
-	Memory    config.Bytes     `yaml:"memory"`
-	Models    int              `yaml:"models"`
-	Sizes     []config.Bytes   `yaml:"sizes"`
-	Adapters  int              `yaml:"adapters"`
-	Slots     int              `yaml:"slots"`
-	Objective config.Objective `yaml:"weigh"`
-	Store     config.Store     `yaml:"store"`
+	Hosts    int            `yaml:"hosts"`
+	Memory   config.Bytes   `yaml:"memory"`
+	Models   int            `yaml:"models"`
+	Sizes    []config.Bytes `yaml:"sizes"`
+	Adapters int            `yaml:"adapters"`
+	Slots    int            `yaml:"slots"`
+	Weigh    config.Weigh   `yaml:"weigh"`
+	Store    config.Store   `yaml:"store"`
 	// LoadTime is the duration of one load at full speed.
 	LoadTime config.Duration `yaml:"loadTime"`
 	// Service is the duration of a request on an idle engine.
--- a/src/policy/policies.go
+++ b/src/policy/policies.go
@@ -246,7 +246,7 @@
 // reach it. The last ready copy of a model stays until another one is ready.
 func (r *replanPlacer) apply(z int, now time.Time) {
 	zone := r.b.zones[z]
-	in := place.Input{SpareCopies: true, Objective: r.b.e.Objective, MaxLoads: 1 << 20}
+	in := place.Input{SpareCopies: true, Weigh: r.b.e.Weigh, MaxLoads: 1 << 20}
 	for _, e := range zone.engines {
 		in.Accelerators = append(in.Accelerators, place.Accelerator{Host: e.report.Host, Free: r.b.e.Memory, Available: !e.down, Slots: r.b.e.Slots})
 	}
--- a/src/process/process.go
+++ b/src/process/process.go
@@ -209,9 +209,9 @@
 }
 
 // cost returns the resources that the process has used.
-func (p *Process) cost() wire.ProcessUsage {
+func (p *Process) cost() wire.ControlCost {
 	usage := readUsage()
-	return wire.ProcessUsage{
+	return wire.ControlCost{
 		BytesIn:   p.meter.BytesIn(),
 		BytesOut:  p.meter.BytesOut(),
 		Messages:  p.meter.Messages(),
--- a/src/registry/incarnation_test.go
+++ b/src/registry/incarnation_test.go
@@ -54,7 +54,7 @@
 			address := fmt.Sprint("a:", born%2) // different starts share addresses
 			record := heartbeat("i", born, sequence[born], address)
 			record.Draining = drained[born]
-			record.Models = []LoadedModel{{Name: fmt.Sprint("of-", born)}}
+			record.Models = []Held{{Name: fmt.Sprint("of-", born)}}
 			tables[node].ApplyHeartbeat(now, record)
 		}
 		for born := int64(1); born <= latest; born++ {
--- a/src/registry/record.go
+++ b/src/registry/record.go
@@ -32,7 +32,7 @@
 	ColdMS int64  `json:"coldMs,omitempty"`
 	Stage  string `json:"stage,omitempty"`
 	// Models are the models loaded on the accelerators now.
-	Models []LoadedModel `json:"models,omitempty"`
+	Models []Held `json:"models,omitempty"`
 	// InMemory and OnDisk list the models whose weights can be loaded without the weight store.
 	InMemory []string `json:"inMemory,omitempty"`
 	OnDisk   []string `json:"onDisk,omitempty"`
@@ -85,8 +85,8 @@
 	return r.StartedMS > 0 || r.ReplicaName() == other.ReplicaName()
 }
 
-// LoadedModel is a model loaded on a replica, with its loaded adapters.
-type LoadedModel struct {
+// Held is a model loaded on a replica, with its loaded adapters.
+type Held struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"version,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
@@ -135,6 +135,6 @@
 	return routing
 }
 
-func sameModel(a, b LoadedModel) bool {
+func sameModel(a, b Held) bool {
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
--- a/src/store/replicas_test.go
+++ b/src/store/replicas_test.go
@@ -28,7 +28,7 @@
 	records, err := file.Load()
 	is.NoErr(err)
 	is.Equal(len(records), 0)
-	saved := []registry.Record{{ID: "a", Service: "s", Address: "x:1", Sequence: 4, Draining: true, Models: []registry.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}}, {ID: "b"}}
+	saved := []registry.Record{{ID: "a", Service: "s", Address: "x:1", Sequence: 4, Draining: true, Models: []registry.Held{{Name: "m", Adapters: []string{"a1"}}}}, {ID: "b"}}
 	is.NoErr(file.Save(saved))
 	records, err = file.Load()
 	is.NoErr(err)
--- a/src/wire/control.go
+++ b/src/wire/control.go
@@ -119,11 +119,11 @@
 	Address  string          `json:"address"`
 	Revision config.Revision `json:"revision"`
 	Leaving  bool            `json:"leaving,omitempty"`
-	Control  ProcessUsage    `json:"control"`
+	Control  ControlCost     `json:"control"`
 }
 
-// ProcessUsage is the control traffic, CPU time and memory use of a process since it started.
-type ProcessUsage struct {
+// ControlCost is the control traffic, CPU time and memory use of a process since it started.
+type ControlCost struct {
 	BytesIn  int64           `json:"bytesIn"`
 	BytesOut int64           `json:"bytesOut"`
 	Messages int64           `json:"messages"`
--- a/src/wire/document.go
+++ b/src/wire/document.go
@@ -110,12 +110,12 @@
 // Usage is the demand for models since the last report.
 type Usage struct {
 	// Node is the gateway, or the control node that aggregates the reports of its gateways.
-	Node   string       `json:"node"`
-	Models []ModelUsage `json:"models"`
+	Node   string  `json:"node"`
+	Models []Asked `json:"models"`
 }
 
-// ModelUsage is the demand for one model or adapter.
-type ModelUsage struct {
+// Asked is the demand for one model or adapter.
+type Asked struct {
 	Service string `json:"service"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
--- a/src/wire/process.go
+++ b/src/wire/process.go
@@ -21,7 +21,7 @@
 	Ready       bool               `json:"ready"`
 	Leaving     bool               `json:"leaving,omitempty"`
 	Revision    config.Revision    `json:"revision"`
-	Control     ProcessUsage       `json:"control"`
+	Control     ControlCost        `json:"control"`
 	ControlNode *ControlNodeStatus `json:"controlNode,omitempty"`
 	Planner     *PlannerStatus     `json:"planner,omitempty"`
 	Entry       *GatewayStatus     `json:"entry,omitempty"`
