--- a/bench/groups.sh
+++ b/bench/groups.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# groups.sh SITE.toml FOLDER: cuts each standard day with trouble into days with the
-# moves of demand and one group of kinds each, so that a change's effect on one group
-# shows. Play them with: fleetbench run SITE.toml FOLDER/DAY-GROUP.toml --report FILE
+# groups.sh SITE.toml FOLDER: splits each standard day with faults into one day for each
+# group of fault kinds, which keeps the changes of demand, so that the effect of a code
+# change on one group can be measured.
+# Run a day with: fleetbench run SITE.toml FOLDER/DAY-GROUP.toml --report FILE
 set -eu
 site=$1
 folder=$2
 mkdir -p "$folder"
 
-# group NAME PATTERN writes the days that keep the lines whose kind matches.
+# group NAME PATTERN writes days that contain only the faults whose kind matches.
 group() {
 	awk -v group="$1" -v kinds="$2" -v folder="$folder" '
 		function flush() {
--- a/bench/losses/doc.go
+++ b/bench/losses/doc.go
@@ -1,8 +1,9 @@
-// Command losses says from a played day's log which requests were lost or late, at
-// which moments and for what reason.
+// Command losses reads the log of a simulated day and prints which requests were lost or late, when
+// and why.
 //
 //	fleetbench run SITE DAY --log all > day.log
 //	go run ./bench/losses --pause 250ms --target 400ms < day.log
 //
-// It counts requests, not worth: what a kind of request is worth is not in the log.
+// All requests count alike: the log does not contain the weight that the bench's score gives to a
+// kind of request.
 package main
--- a/bench/round.sh
+++ b/bench/round.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# round.sh PLAYER SYSTEM FOLDER [BEFORE]: plays what a landing asks for, one thing after the
-# other, and prints one table. PLAYER is the users' bench, SYSTEM the folder with their
-# deployments, FOLDER takes the output of each play, BEFORE is the FOLDER of an earlier round
-# whose mean worth is printed beside. JOBS (4) days are played at a time: a deployment of 90
-# gateways takes 1.5 GB a day. What would take more than half of this machine's memory is
-# not played: the table says so.
+# round.sh PLAYER SYSTEM FOLDER [BEFORE]: runs the benchmarks required before a release one
+# after the other and prints one table. PLAYER is the users' bench program, SYSTEM the folder
+# with their deployments, FOLDER receives the output of each run. BEFORE is the FOLDER of an
+# earlier round, whose mean worth is printed for comparison. JOBS (default 4) days run at a
+# time: a day of a deployment with 90 gateways takes 1.5 GB. Runs that would take more than
+# half of the machine's memory are left out, and the table says so.
 set -eu
 player=$1
 system=$2
@@ -14,18 +14,18 @@
 why=${WHY:-The round before a landing}
 mkdir -p "$folder"
 
-# The deployments: file, days to hunt.
+# The deployment files, by size.
 small="sites/kilima-hq sites/nguyengia-lostfound further/tuhoe-keys"
 grown="shifted/kilima-hq-now-grown grown/kilima-hq-grown grown/nguyengia-lostfound-grown further-grown/tuhoe-keys-grown"
 large="large/kilima-hq-large"
 
-# worth FILE prints the mean worth of the days with trouble of a score.
+# worth FILE prints the mean worth of the days with faults in the output of a score.
 worth() {
 	[ -s "$1" ] || { echo "-"; return; }
 	awk '$1 ~ /^(trouble|scale)-[0-9]+$/ && $2 ~ /^[0-9]+\/[0-9]+$/ { sum += $4; n++ } END { if (n) printf "%.3f", sum / n; else printf "-" }' "$1"
 }
 
-# row DEPLOYMENT DAYS scores a deployment, hunts it and prints its line.
+# row DEPLOYMENT DAYS scores a deployment, hunts it for DAYS days and prints its line.
 row() {
 	local name=${1##*/} score hunt
 	score=$folder/score-$name.log
@@ -38,14 +38,14 @@
 		"$(grep -h 'with a rule broken' "$hunt" || echo 'hunt not finished')"
 }
 
-# days prints the standard days of a deployment file.
+# days FILE prints the names of the standard days of a deployment file.
 days() { awk -F'"' '/^\[\[day\]\]/ { day = 1 } day && /^name = / { print $2; day = 0 }' "$1"; }
 
 printf '%-28s %-12s %-6s %-6s %s\n' deployment gate worth before hunted
 for one in $small; do row "$one" 40; done
 for one in $grown; do row "$one" 8; done
 
-# A large day takes several cores by itself: its standard days are played one at a time.
+# A day of a large deployment takes several cores, so its standard days run one at a time.
 for one in $large; do
 	for day in $(days "$system/$one.toml"); do
 		log=$folder/run-${one##*/}-$day.log
--- a/cmd/moorspool-control/main.go
+++ b/cmd/moorspool-control/main.go
@@ -1,4 +1,5 @@
-// Command moorspool-control holds the replicated state of an installation.
+// Command moorspool-control runs a control node, which holds the replicated state of an
+// installation.
 package main
 
 import (
--- a/cmd/moorspool-emulator/main.go
+++ b/cmd/moorspool-emulator/main.go
@@ -1,5 +1,5 @@
-// Command moorspool-emulator runs the emulators, the load tool and the
-// measurements of tests and the demo.
+// Command moorspool-emulator runs the emulators, the load tool and the measurements of the tests and
+// the demo.
 package main
 
 import (
--- a/cmd/moorspool-fleet-control/main.go
+++ b/cmd/moorspool-fleet-control/main.go
@@ -1,4 +1,5 @@
-// Command moorspool-fleet-control keeps configuration and replicas on the users' platform.
+// Command moorspool-fleet-control runs a control node on the fleet platform; it holds the
+// configuration and the registered replicas.
 package main
 
 import (
--- a/cmd/moorspool-fleet-gateway/main.go
+++ b/cmd/moorspool-fleet-gateway/main.go
@@ -1,4 +1,5 @@
-// Command moorspool-fleet-gateway takes clients' requests on the users' platform.
+// Command moorspool-fleet-gateway runs a gateway on the fleet platform; it routes clients' requests
+// to replicas.
 package main
 
 import (
--- a/cmd/moorspool-gateway/main.go
+++ b/cmd/moorspool-gateway/main.go
@@ -1,4 +1,4 @@
-// Command moorspool-gateway takes clients' requests and routes them to backend servers.
+// Command moorspool-gateway receives clients' requests and routes them to backend servers.
 package main
 
 import (
--- a/cmd/moorspool-planner/main.go
+++ b/cmd/moorspool-planner/main.go
@@ -1,5 +1,5 @@
-// Command moorspool-planner decides which models sit on the accelerators of its
-// availability zone.
+// Command moorspool-planner decides which models are loaded on the accelerators of its availability
+// zone.
 package main
 
 import (
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts three control nodes, a planner and a gateway, measures their slopes with
-# small emulators and brings docs/CAPACITY.md up to date. Ends by itself.
+# Starts three control nodes, a planner and a gateway, measures with emulators how their use
+# of resources grows, updates docs/CAPACITY.md and exits.
 set -eu
 cd "$(dirname "$0")/.."
 run=run/capacity
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs one user's installation as separate processes on loopback addresses,
-# drives load, switches faults, and ends by itself with a table.
+# Runs one user's installation as separate processes on loopback addresses, generates load,
+# injects faults, prints a table of results and exits.
 # Usage: scripts/demo.sh PROFILE
 set -eu
 profile=${1:-kilima}
--- a/scripts/load.sh
+++ b/scripts/load.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Drives kilima's installation at 0.5, 0.8, 1.0 and 1.5 times its engines'
-# capacity, with moorspool's routing and with two baselines, in one run.
+# Loads kilima's installation with 0.5, 0.8, 1.0 and 1.5 times the capacity of its engines,
+# with moorspool's routing and with two baselines.
 set -eu
 cd "$(dirname "$0")/.."
 run=run/load
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs all tests but those that KNOWN-RED.txt lists, which it prints: a line each,
-# test | cause | issue, three lines at most. A line whose name begins with soak- is of a seed that is
-# played by hand: it is printed, and no test is passed over for it.
+# Runs all tests except those listed in KNOWN-RED.txt, and prints that list. It has at most
+# three lines of the form test | cause | issue. A name that begins with soak- stands for a
+# seed of the soak, which is run by hand: the line is printed, but no test is skipped for it.
 set -eu
 cd "$(dirname "$0")/.."
 GO=${GO:-go}
--- a/src/emulator/balancer.go
+++ b/src/emulator/balancer.go
@@ -11,39 +11,39 @@
 	"github.com/cloudwego/hertz/pkg/protocol/consts"
 )
 
-// The balancer's times: it looks once in a while, so that it lags.
+// Timing of the balancer. It polls the gateways at an interval, so that its view of them lags.
 const (
-	balancerEvery = 500 * time.Millisecond
-	balancerWait  = 300 * time.Millisecond
+	balancerInterval = 500 * time.Millisecond
+	balancerTimeout  = 300 * time.Millisecond
 )
 
-// balancer stands in for the platform's balancer: it sends new requests to the
-// gateways that said ready when it last asked.
+// balancer emulates the platform's load balancer: it sends new requests to the gateways that
+// reported ready at the last poll.
 type balancer struct {
-	entries []EntryAddress
-	client  *client.Client
-	mu      sync.Mutex
-	ready   []string
+	gateways []GatewayAddress
+	client   *client.Client
+	mu       sync.Mutex
+	ready    []string
 }
 
-func newBalancer(entries []EntryAddress) (*balancer, error) {
-	c, err := client.NewClient(client.WithDialer(standard.NewDialer()), client.WithDialTimeout(balancerWait), client.WithClientReadTimeout(balancerWait))
-	return &balancer{entries: entries, client: c}, err
+func newBalancer(gateways []GatewayAddress) (*balancer, error) {
+	c, err := client.NewClient(client.WithDialer(standard.NewDialer()), client.WithDialTimeout(balancerTimeout), client.WithClientReadTimeout(balancerTimeout))
+	return &balancer{gateways: gateways, client: c}, err
 }
 
 func (b *balancer) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		b.look(ctx)
-		sleep(ctx, balancerEvery)
+		b.poll(ctx)
+		sleep(ctx, balancerInterval)
 	}
 }
 
-func (b *balancer) look(ctx context.Context) {
+func (b *balancer) poll(ctx context.Context) {
 	var ready []string
-	for _, entry := range b.entries {
-		status, _, err := b.client.Get(ctx, nil, "http://"+entry.Admin+"/readyz")
+	for _, gateway := range b.gateways {
+		status, _, err := b.client.Get(ctx, nil, "http://"+gateway.Admin+"/readyz")
 		if err == nil && status == consts.StatusOK {
-			ready = append(ready, entry.Clients)
+			ready = append(ready, gateway.Clients)
 		}
 	}
 	b.mu.Lock()
@@ -51,7 +51,7 @@
 	b.ready = ready
 }
 
-// pick returns a gateway, "" if none is ready.
+// pick returns the address of a random ready gateway, "" if none is ready.
 func (b *balancer) pick(random *rand.Rand) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,7 +61,7 @@
 	return b.ready[random.IntN(len(b.ready))]
 }
 
-// get asks an address for a path and returns the body.
+// get sends a GET request and returns the body of the answer.
 func (b *balancer) get(ctx context.Context, address, path string) ([]byte, error) {
 	_, body, err := b.client.Get(ctx, nil, "http://"+address+path)
 	return body, err
--- a/src/emulator/engine.go
+++ b/src/emulator/engine.go
@@ -19,74 +19,74 @@
 	"github.com/moorspool/moorspool/src/process"
 )
 
-// The emulators' own paths, beside those of what they stand in for.
+// Paths of the emulators in addition to those of the emulated systems.
 const (
 	PathStats = "/emulator/stats"
 	PathFault = "/emulator/fault"
 )
 
-// lateAfter is how long a leaving host may still get new work.
-const lateAfter = 3 * time.Second
+// leavingGrace is how long a leaving host may still receive new requests.
+const leavingGrace = 3 * time.Second
 
-// EngineOptions describe an emulator engine.
+// EngineOptions configure an emulated engine.
 type EngineOptions struct {
 	Host     string
 	Capacity []config.Bytes
 	// Slots is how many requests an accelerator runs at once at full speed.
 	Slots int
-	// Prefill and Gap are the times before the first and between tokens of an idle engine.
+	// Prefill and Gap are the times to the first token and between tokens of an idle engine.
 	Prefill time.Duration
 	Gap     time.Duration
-	// Checks says whether the engine refuses orders of an older epoch.
+	// Checks makes the engine refuse orders of an older epoch.
 	Checks bool
-	// Store is the weight store's address, "" to load at once.
+	// Store is the weight store's address, "" to load weights without delay.
 	Store string
-	// Warm is what the engine holds ready at its start.
+	// Warm lists the copies that are ready when the engine starts.
 	Warm []engine.Copy
 }
 
-// Faults are what can go wrong with an emulator, switched by a POST to PathFault.
+// Faults are the faults that are switched on in an emulator by a POST to PathFault.
 type Faults struct {
-	// LoseOrders drops orders before, LoseAnswers after they were taken.
+	// LoseOrders closes the connection before an order is applied, LoseAnswers after it was applied.
 	LoseOrders  bool `json:"loseOrders,omitempty"`
 	LoseAnswers bool `json:"loseAnswers,omitempty"`
-	// DoubleOrders takes each order twice.
+	// DoubleOrders applies each order twice.
 	DoubleOrders bool `json:"doubleOrders,omitempty"`
-	// DelayOrders holds each order back.
+	// DelayOrders delays each order.
 	DelayOrders config.Duration `json:"delayOrders,omitempty"`
-	// BreakAfter closes a stream's connection after so many tokens.
+	// BreakAfter closes a stream's connection after this many tokens.
 	BreakAfter int `json:"breakAfter,omitempty"`
-	// Stall stops all answers.
+	// Stall pauses all streams.
 	Stall bool `json:"stall,omitempty"`
-	// Leaving makes the host say that it is leaving.
+	// Leaving makes the host announce that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Run is how often an emulator ran a request or key.
-type Run struct {
+// RunCount is how often an emulator ran a request, or a call with an idempotency key.
+type RunCount struct {
 	ID    string `json:"id"`
 	Count int    `json:"count"`
 }
 
-// Stats are what an emulator saw.
+// Stats are the counters of an emulator.
 type Stats struct {
-	Host     string `json:"host"`
-	Runs     []Run  `json:"runs"`
-	Keys     []Run  `json:"keys,omitempty"`
-	Breaches int    `json:"breaches"`
-	Loads    int    `json:"loads"`
-	Unloads  int    `json:"unloads"`
-	// Late counts the requests that came too long after the host said that it is leaving.
+	Host     string     `json:"host"`
+	Runs     []RunCount `json:"runs"`
+	Keys     []RunCount `json:"keys,omitempty"`
+	Breaches int        `json:"breaches"`
+	Loads    int        `json:"loads"`
+	Unloads  int        `json:"unloads"`
+	// Late counts the requests that arrived later than leavingGrace after the host began to leave.
 	Late int `json:"late"`
 }
 
-// runs counts runs by id.
-type runs struct {
+// runCounts counts runs by request ID or key. It is safe for concurrent use.
+type runCounts struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-func (r *runs) add(id string) {
+func (r *runCounts) add(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.count == nil {
@@ -95,32 +95,32 @@
 	r.count[id]++
 }
 
-func (r *runs) list() []Run {
+func (r *runCounts) list() []RunCount {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]Run, 0, len(r.count))
+	list := make([]RunCount, 0, len(r.count))
 	for id, count := range r.count {
-		list = append(list, Run{ID: id, Count: count})
+		list = append(list, RunCount{ID: id, Count: count})
 	}
 	return list
 }
 
-// switches hold the faults that are on, and since when the host is leaving.
-type switches struct {
+// faultState holds the active faults and since when the host has been leaving.
+type faultState struct {
 	faults    atomic.Pointer[Faults]
 	leavingAt atomic.Int64
 	late      atomic.Int64
 }
 
-func newSwitches() *switches {
-	s := &switches{}
+func newFaultState() *faultState {
+	s := &faultState{}
 	s.faults.Store(&Faults{})
 	return s
 }
 
-func (s *switches) now() Faults { return *s.faults.Load() }
+func (s *faultState) current() Faults { return *s.faults.Load() }
 
-func (s *switches) set(_ context.Context, c *app.RequestContext) {
+func (s *faultState) handleSet(_ context.Context, c *app.RequestContext) {
 	var faults Faults
 	if err := json.Unmarshal(c.Request.Body(), &faults); err != nil {
 		c.String(consts.StatusBadRequest, err.Error())
@@ -136,27 +136,27 @@
 	c.String(consts.StatusOK, "ok\n")
 }
 
-// arrival notes a new request and whether it came too late.
-func (s *switches) arrival() {
-	if at := s.leavingAt.Load(); at != 0 && time.Since(time.Unix(0, at)) > lateAfter {
+// recordArrival counts a request that arrives too late at a leaving host.
+func (s *faultState) recordArrival() {
+	if at := s.leavingAt.Load(); at != 0 && time.Since(time.Unix(0, at)) > leavingGrace {
 		s.late.Add(1)
 	}
 }
 
-// Engine is an emulator model engine.
+// Engine is an emulated model engine.
 type Engine struct {
-	options  EngineOptions
-	memory   *memory
-	switches *switches
-	runs     runs
-	running  atomic.Int64
-	cache    prefixCache
-	hertz    *server.Hertz
+	options    EngineOptions
+	memory     *memory
+	faultState *faultState
+	runCounts  runCounts
+	running    atomic.Int64
+	cache      prefixCache
+	hertz      *server.Hertz
 }
 
-// NewEngine returns an emulator engine.
+// NewEngine returns an emulated engine.
 func NewEngine(options EngineOptions) *Engine {
-	e := &Engine{options: options, memory: newMemory(options.Host, options.Capacity, options.Checks), switches: newSwitches()}
+	e := &Engine{options: options, memory: newMemory(options.Host, options.Capacity, options.Checks), faultState: newFaultState()}
 	for i := range options.Warm {
 		warm := options.Warm[i]
 		warm.State = engine.CopyReady
@@ -173,35 +173,35 @@
 	h.GET(engine.PathReport, e.report)
 	h.POST(engine.PathOrders, e.order)
 	h.GET(PathStats, e.stats)
-	h.POST(PathFault, e.switches.set)
+	h.POST(PathFault, e.faultState.handleSet)
 	e.hertz = h
 	go func() { _ = h.Run() }()
 }
 
-// Close ends the engine at once.
+// Close stops the engine at once.
 func (e *Engine) Close() { _ = e.hertz.Close() }
 
 func (e *Engine) stats(_ context.Context, c *app.RequestContext) {
 	r := e.memory.report("")
 	c.JSON(consts.StatusOK, Stats{
 		Host:     e.options.Host,
-		Runs:     e.runs.list(),
+		Runs:     e.runCounts.list(),
 		Breaches: r.Breaches,
 		Loads:    e.memory.loads,
 		Unloads:  e.memory.unloads,
-		Late:     int(e.switches.late.Load()),
+		Late:     int(e.faultState.late.Load()),
 	})
 }
 
 func (e *Engine) report(_ context.Context, c *app.RequestContext) {
 	r := e.memory.report(string(c.GetHeader(engine.HeaderKnown)))
-	r.Leaving = e.switches.now().Leaving
+	r.Leaving = e.faultState.current().Leaving
 	r.Slots = e.options.Slots
 	r.Running, r.Waiting = e.load()
 	c.JSON(consts.StatusOK, r)
 }
 
-// load splits the requests into those that have a slot and those that share.
+// load divides the active requests into those with a slot and those beyond the slots.
 func (e *Engine) load() (running, waiting int) {
 	all := int(e.running.Load())
 	slots := e.options.Slots * len(e.options.Capacity)
@@ -209,7 +209,7 @@
 }
 
 func (e *Engine) order(_ context.Context, c *app.RequestContext) {
-	faults := e.switches.now()
+	faults := e.faultState.current()
 	var order engine.Order
 	if err := json.Unmarshal(c.Request.Body(), &order); err != nil {
 		c.JSON(consts.StatusOK, engine.OrderReply{Outcome: engine.OrderInvalid, Reason: err.Error()})
@@ -220,12 +220,12 @@
 		return
 	}
 	time.Sleep(faults.DelayOrders.Std())
-	reply, c1 := e.memory.take(order)
-	e.carryOut(c1)
+	reply, c1 := e.memory.apply(order)
+	e.execute(c1)
 	if faults.DoubleOrders {
 		var c2 *engine.Copy
-		reply, c2 = e.memory.take(order)
-		e.carryOut(c2)
+		reply, c2 = e.memory.apply(order)
+		e.execute(c2)
 	}
 	if faults.LoseAnswers {
 		_ = c.GetConn().Close()
@@ -234,17 +234,18 @@
 	c.JSON(consts.StatusOK, reply)
 }
 
-// unloadPoll is how often an unload looks whether requests still run.
-const unloadPoll = 20 * time.Millisecond
+// pollInterval is how often an unload checks whether requests still run, and a stalled stream
+// whether the fault is over.
+const pollInterval = 20 * time.Millisecond
 
-func (e *Engine) carryOut(c *engine.Copy) {
+func (e *Engine) execute(c *engine.Copy) {
 	if c == nil {
 		return
 	}
 	if c.State == engine.CopyUnloading {
 		go func() {
-			for !e.memory.free(c) {
-				time.Sleep(unloadPoll)
+			for !e.memory.removeIfIdle(c) {
+				time.Sleep(pollInterval)
 			}
 		}()
 		return
@@ -256,7 +257,7 @@
 }
 
 func (e *Engine) completion(ctx context.Context, c *app.RequestContext) {
-	faults := e.switches.now()
+	faults := e.faultState.current()
 	running, waiting := e.load()
 	c.Response.Header.Set(engine.HeaderLoad, engine.FormatLoad(running, waiting))
 	if faults.Leaving {
@@ -267,20 +268,20 @@
 		e.refuse(c, consts.StatusBadRequest)
 		return
 	}
-	e.switches.arrival()
-	copied := e.memory.enter(call.Model)
-	if copied == nil {
+	e.faultState.recordArrival()
+	loaded := e.memory.acquire(call.Model)
+	if loaded == nil {
 		e.refuse(c, consts.StatusNotFound)
 		return
 	}
-	defer e.memory.exit(copied)
-	e.runs.add(string(c.GetHeader(engine.HeaderRequestID)))
+	defer e.memory.release(loaded)
+	e.runCounts.add(string(c.GetHeader(engine.HeaderRequestID)))
 	e.running.Add(1)
 	defer e.running.Add(-1)
 	e.generate(ctx, c, call, faults)
 }
 
-// refuse answers a request that did not run.
+// refuse answers a request that was not run.
 func (e *Engine) refuse(c *app.RequestContext, status int) {
 	c.Response.Header.Set(engine.HeaderNotRun, "true")
 	c.String(status, "refused\n")
@@ -288,31 +289,31 @@
 
 func (e *Engine) generate(ctx context.Context, c *app.RequestContext, call completionCall, faults Faults) {
 	chat := string(c.Path()) == engine.PathChat
-	from, err := strconv.ParseUint(string(c.GetHeader(engine.HeaderResumeFrom)), 10, 64)
+	resumeFrom, err := strconv.ParseUint(string(c.GetHeader(engine.HeaderResumeFrom)), 10, 64)
 	if err != nil {
-		from = 0
+		resumeFrom = 0
 	}
 	prefill := e.options.Prefill
-	if e.cache.hit(call.Model + call.Prompt) {
+	if e.cache.checkAndAdd(call.Model + call.Prompt) {
 		prefill /= 4
 	}
-	if !sleep(ctx, time.Duration(float64(prefill)*e.crowding())) {
+	if !sleep(ctx, time.Duration(float64(prefill)*e.slowdown())) {
 		return
 	}
 	writer := sse.NewWriter(c)
-	for n := from + 1; n <= uint64(call.MaxTokens); n++ {
-		for e.switches.now().Stall && ctx.Err() == nil {
-			time.Sleep(unloadPoll)
+	for n := resumeFrom + 1; n <= uint64(call.MaxTokens); n++ {
+		for e.faultState.current().Stall && ctx.Err() == nil {
+			time.Sleep(pollInterval)
 		}
-		if faults.BreakAfter > 0 && n > from+uint64(faults.BreakAfter) {
+		if faults.BreakAfter > 0 && n > resumeFrom+uint64(faults.BreakAfter) {
 			_ = c.GetConn().Close()
 			return
 		}
 		id := strconv.FormatUint(n, 10)
-		if err := writer.WriteEvent(id, "", chunkOf(chat, call.Model, Word(call.Model, call.Prompt, n))); err != nil {
+		if err := writer.WriteEvent(id, "", encodeChunk(chat, call.Model, Token(call.Model, call.Prompt, n))); err != nil {
 			return
 		}
-		if !sleep(ctx, time.Duration(float64(e.options.Gap)*e.crowding())) {
+		if !sleep(ctx, time.Duration(float64(e.options.Gap)*e.slowdown())) {
 			return
 		}
 	}
@@ -320,9 +321,9 @@
 	_ = writer.Close()
 }
 
-// crowding is how much slower the engine is than when idle: batching is free up
-// to the slots, then all requests share.
-func (e *Engine) crowding() float64 {
+// slowdown is the factor by which the engine is slower than when idle: up to the slots batching
+// costs nothing, beyond them all requests share the speed.
+func (e *Engine) slowdown() float64 {
 	slots := float64(e.options.Slots * len(e.options.Capacity))
 	return max(1, float64(e.running.Load())/slots)
 }
@@ -341,47 +342,47 @@
 	}
 }
 
-// prefixCache remembers the last prompts' beginnings.
+// prefixCache remembers the prefixes of recent prompts.
 type prefixCache struct {
-	mu    sync.Mutex
-	order []string
-	known map[string]bool
+	mu      sync.Mutex
+	order   []string
+	entries map[string]bool
 }
 
-// The size of the prefix cache.
+// Limits of the prefix cache.
 const (
-	cachePrefix  = 64
-	cacheEntries = 256
+	cachePrefixLength = 64
+	cacheEntries      = 256
 )
 
-func (p *prefixCache) hit(prompt string) bool {
-	key := prompt[:min(len(prompt), cachePrefix)]
+func (p *prefixCache) checkAndAdd(prompt string) bool {
+	key := prompt[:min(len(prompt), cachePrefixLength)]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.known[key] {
+	if p.entries[key] {
 		return true
 	}
-	if p.known == nil {
-		p.known = map[string]bool{}
+	if p.entries == nil {
+		p.entries = map[string]bool{}
 	}
-	p.known[key] = true
+	p.entries[key] = true
 	p.order = append(p.order, key)
 	if len(p.order) > cacheEntries {
-		delete(p.known, p.order[0])
+		delete(p.entries, p.order[0])
 		p.order = p.order[1:]
 	}
 	return false
 }
 
-// SetFaults switches faults as a POST to PathFault does.
-func (e *Engine) SetFaults(f Faults) { e.switches.faults.Store(&f) }
+// SetFaults sets the faults, as a POST to PathFault does.
+func (e *Engine) SetFaults(f Faults) { e.faultState.faults.Store(&f) }
 
-// Running returns the number of requests that run now.
+// Running returns the number of requests that are running.
 func (e *Engine) Running() int { return int(e.running.Load()) }
 
-// Ran returns how often a request's id ran.
+// Ran returns how often the request with an ID ran.
 func (e *Engine) Ran(id string) int {
-	e.runs.mu.Lock()
-	defer e.runs.mu.Unlock()
-	return e.runs.count[id]
+	e.runCounts.mu.Lock()
+	defer e.runCounts.mu.Unlock()
+	return e.runCounts.count[id]
 }
--- a/src/emulator/outside.go
+++ b/src/emulator/external.go
@@ -24,17 +24,17 @@
 	"github.com/moorspool/moorspool/src/service"
 )
 
-// The emulators' paths.
+// Paths of the weight store and of the platform's host list.
 const (
 	pathLoad = "/weights/load"
-	// PathLeave marks a host as leaving in the platform's list, after its lag.
+	// PathLeave marks a host as leaving in the host list, after the list's lag.
 	PathLeave = "/emulator/leave"
-	// PathRemove takes a host off the platform's list, after its lag.
+	// PathRemove removes a host from the host list, after the list's lag.
 	PathRemove = "/emulator/remove"
 )
 
-// Store is an emulator weight store: it starts loads at a rate, and loads past
-// its number at full speed slow each other.
+// Store is an emulated weight store. It limits the rate at which loads start; concurrent loads
+// beyond fullSpeed slow each other down.
 type Store struct {
 	limiter   *rate.Limiter
 	fullSpeed int
@@ -43,7 +43,7 @@
 	loads     atomic.Int64
 }
 
-// NewStore returns a weight store; bandwidth is bytes a second of one load at full speed.
+// NewStore returns a weight store; bandwidth is the bytes a second of one load at full speed.
 func NewStore(loadsPerSecond float64, fullSpeed int, bandwidth config.Bytes) *Store {
 	return &Store{limiter: rate.NewLimiter(rate.Limit(loadsPerSecond), fullSpeed), fullSpeed: fullSpeed, bandwidth: float64(bandwidth)}
 }
@@ -71,20 +71,20 @@
 	active := s.active.Add(1)
 	defer s.active.Add(-1)
 	s.loads.Add(1)
-	slower := max(1, float64(active)/float64(s.fullSpeed))
-	sleep(ctx, time.Duration(size/s.bandwidth*slower*float64(time.Second)))
+	slowdown := max(1, float64(active)/float64(s.fullSpeed))
+	sleep(ctx, time.Duration(size/s.bandwidth*slowdown*float64(time.Second)))
 	c.String(consts.StatusOK, "loaded\n")
 }
 
-// storeWait bounds one load from the emulator store.
-const storeWait = 5 * time.Minute
+// storeTimeout limits the time of one load.
+const storeTimeout = 5 * time.Minute
 
-// fetchWeights takes the time that a load from the store takes.
+// fetchWeights waits as long as the store takes to load weights of this size.
 func fetchWeights(store string, bytes config.Bytes) {
 	if store == "" {
 		return
 	}
-	c, err := client.NewClient(client.WithClientReadTimeout(storeWait), client.WithDialer(standard.NewDialer()))
+	c, err := client.NewClient(client.WithClientReadTimeout(storeTimeout), client.WithDialer(standard.NewDialer()))
 	if err != nil {
 		return
 	}
@@ -96,7 +96,7 @@
 	_ = c.Do(context.Background(), request, response)
 }
 
-// Platform is an emulator for the platform's host list, which lags.
+// Platform is an emulated host list of the platform; changes appear in it after a lag.
 type Platform struct {
 	lag     time.Duration
 	mu      sync.Mutex
@@ -104,12 +104,12 @@
 	hosts   []discovery.Host
 }
 
-// NewPlatform returns a list of hosts whose changes show after lag.
+// NewPlatform returns a host list whose changes appear after lag.
 func NewPlatform(hosts []discovery.Host, lag time.Duration) *Platform {
 	return &Platform{lag: lag, version: 1, hosts: hosts}
 }
 
-// SetHosts replaces the list at once.
+// SetHosts replaces the list without lag.
 func (p *Platform) SetHosts(hosts []discovery.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,8 +121,8 @@
 func (p *Platform) Serve(ln net.Listener) {
 	h := process.NewServer(ln, 1<<20)
 	h.GET(discovery.PathHosts, p.list)
-	h.POST(PathLeave, func(_ context.Context, c *app.RequestContext) { p.later(c, p.leave) })
-	h.POST(PathRemove, func(_ context.Context, c *app.RequestContext) { p.later(c, p.remove) })
+	h.POST(PathLeave, func(_ context.Context, c *app.RequestContext) { p.changeAfterLag(c, p.leave) })
+	h.POST(PathRemove, func(_ context.Context, c *app.RequestContext) { p.changeAfterLag(c, p.remove) })
 	go func() { _ = h.Run() }()
 }
 
@@ -136,7 +136,7 @@
 	c.JSON(consts.StatusOK, discovery.List{Version: p.version, Hosts: p.hosts})
 }
 
-func (p *Platform) later(c *app.RequestContext, change func(string)) {
+func (p *Platform) changeAfterLag(c *app.RequestContext, change func(string)) {
 	name := c.Query("host")
 	time.AfterFunc(p.lag, func() {
 		p.mu.Lock()
@@ -167,21 +167,21 @@
 	p.hosts = hosts
 }
 
-// Plain is an emulator plain service that counts runs by request and key.
+// Plain is an emulated plain service that counts runs by request ID and by idempotency key.
 type Plain struct {
-	host     string
-	start    string
-	work     time.Duration
-	switches *switches
-	runs     runs
-	keys     runs
-	running  atomic.Int64
-	seq      atomic.Uint64
+	host        string
+	incarnation string
+	work        time.Duration
+	faultState  *faultState
+	runCounts   runCounts
+	keys        runCounts
+	running     atomic.Int64
+	seq         atomic.Uint64
 }
 
-// NewPlain returns a plain service whose calls take work.
+// NewPlain returns a plain service whose calls take the time work.
 func NewPlain(host string, work time.Duration) *Plain {
-	return &Plain{host: host, start: uuid.NewString(), work: work, switches: newSwitches()}
+	return &Plain{host: host, incarnation: uuid.NewString(), work: work, faultState: newFaultState()}
 }
 
 // Serve starts the service on a listener.
@@ -189,23 +189,23 @@
 	h := process.NewServer(ln, 8<<20)
 	h.GET(engine.PathReport, p.report)
 	h.GET(PathStats, p.stats)
-	h.POST(PathFault, p.switches.set)
+	h.POST(PathFault, p.faultState.handleSet)
 	h.NoRoute(p.call)
 	go func() { _ = h.Run() }()
 }
 
 func (p *Plain) report(_ context.Context, c *app.RequestContext) {
-	c.JSON(consts.StatusOK, engine.Report{Host: p.host, Incarnation: p.start, Seq: p.seq.Add(1), Leaving: p.switches.now().Leaving, Running: int(p.running.Load()), Slots: plainSlots})
+	c.JSON(consts.StatusOK, engine.Report{Host: p.host, Incarnation: p.incarnation, Seq: p.seq.Add(1), Leaving: p.faultState.current().Leaving, Running: int(p.running.Load()), Slots: plainSlots})
 }
 
-// plainSlots is how many calls a plain service runs at once at full speed.
+// plainSlots is the number of calls that a plain service reports as its capacity.
 const plainSlots = 16
 
 func (p *Plain) stats(_ context.Context, c *app.RequestContext) {
-	c.JSON(consts.StatusOK, Stats{Host: p.host, Runs: p.runs.list(), Keys: p.keys.list(), Late: int(p.switches.late.Load())})
+	c.JSON(consts.StatusOK, Stats{Host: p.host, Runs: p.runCounts.list(), Keys: p.keys.list(), Late: int(p.faultState.late.Load())})
 }
 
-// plainAnswer repeats what was asked, so that the load tool can check it.
+// plainAnswer echoes the request, so that the load tool can check it.
 type plainAnswer struct {
 	Host    string `json:"host"`
 	Request string `json:"request"`
@@ -215,8 +215,8 @@
 }
 
 func (p *Plain) call(ctx context.Context, c *app.RequestContext) {
-	faults := p.switches.now()
-	p.switches.arrival()
+	faults := p.faultState.current()
+	p.faultState.recordArrival()
 	if faults.LoseOrders {
 		_ = c.GetConn().Close()
 		return
@@ -224,7 +224,7 @@
 	p.running.Add(1)
 	defer p.running.Add(-1)
 	id := string(c.GetHeader(engine.HeaderRequestID))
-	p.runs.add(id)
+	p.runCounts.add(id)
 	if key := string(c.GetHeader(service.HeaderKey)); key != "" {
 		p.keys.add(key)
 	}
--- a/src/emulator/install.go
+++ b/src/emulator/install.go
@@ -17,57 +17,56 @@
 	"github.com/moorspool/moorspool/src/route"
 )
 
-// The addresses of a demo installation: the third number is the availability
-// zone, so that a cut can name a zone by its prefix.
+// Ports and address parts of a demo installation. The third octet of an address is the availability
+// zone, so that a network cut can select a zone by address prefix.
 const (
 	controlPort  = 7100
 	adminPort    = 7101
 	clientsPort  = 8080
 	emulatorPort = 9000
 
-	gatewayFirst      = 10
-	controlNodeNumber = 20
-	plannerFirst      = 30
-	engineFirst       = 100
-	serviceFirst      = 200
-	outsideZone       = 99
+	firstGatewayNumber = 10
+	controlNodeNumber  = 20
+	plannerNumber      = 30
+	firstEngineNumber  = 100
+	firstServiceNumber = 200
+	externalZoneNumber = 99
 )
 
-// entriesPerZone is the number of gateways in each availability zone.
-const entriesPerZone = 2
+const gatewaysPerZone = 2
 
-// demoLimits keep a demo's planned stop short.
+// Short times, so that a planned stop in the demo ends soon.
 const (
 	demoBalancerLag = 1200 * time.Millisecond
 	demoDrainLimit  = 30 * time.Second
 )
 
-// Profile is what differs between the demo installations.
+// Profile holds what differs between the demo installations.
 type Profile struct {
-	name   string
-	second int
-	rate   float64
+	name        string
+	secondOctet int
+	rate        float64
 }
 
-// Profiles are the users' installations.
+// Profiles are the demo installations.
 var Profiles = []Profile{
-	{name: "kilima", second: 0, rate: 60},
-	{name: "nguyen-gia", second: 1, rate: 90},
+	{name: "kilima", secondOctet: 0, rate: 60},
+	{name: "nguyen-gia", secondOctet: 1, rate: 90},
 }
 
 // Install writes the settings of every process of a profile's installation.
 type Install struct {
-	profile Profile
-	folder  string
-	set     *config.Set
-	zones   []string
-	entries []EntryAddress
-	hosts   []ListedHost
-	planned map[string][]WarmCopy
-	routing route.Mode
+	profile    Profile
+	folder     string
+	set        *config.Set
+	zones      []string
+	gateways   []GatewayAddress
+	hosts      []ListedHost
+	warmCopies map[string][]WarmCopy
+	routing    route.Mode
 }
 
-// NewInstall reads a profile's configuration.
+// NewInstall reads the configuration for a profile.
 func NewInstall(name, examples, folder string, routing route.Mode) (*Install, error) {
 	sources, err := config.ReadFolder(examples)
 	if err != nil {
@@ -84,7 +83,7 @@
 	assign, _ := place.Assign(set)
 	for _, profile := range Profiles {
 		if profile.name == name {
-			i := &Install{profile: profile, folder: folder, set: set.With(assign, nil), planned: map[string][]WarmCopy{}, routing: routing}
+			i := &Install{profile: profile, folder: folder, set: set.With(assign, nil), warmCopies: map[string][]WarmCopy{}, routing: routing}
 			i.findZones()
 			return i, nil
 		}
@@ -106,7 +105,7 @@
 }
 
 func (i *Install) address(zone, number, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", i.profile.second, zone, number, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", i.profile.secondOctet, zone, number, port)
 }
 
 func (i *Install) write(name string, settings any) error {
@@ -120,9 +119,9 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(i.folder, name+".yaml"), text, 0o644), "writing settings")
 }
 
-// Write writes all settings.
+// Write writes the settings files of all processes.
 func (i *Install) Write() error {
-	for _, step := range []func() error{i.writeEmulators, i.writeControlNodes, i.writePlanners, i.writeEntries, i.writeOutside, i.writeLoad} {
+	for _, step := range []func() error{i.writeEmulators, i.writeControlNodes, i.writePlanners, i.writeGateways, i.writeExternal, i.writeLoad} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -130,10 +129,10 @@
 	return nil
 }
 
-func (i *Install) storeAddress() string    { return i.address(outsideZone, 1, emulatorPort) }
-func (i *Install) platformAddress() string { return i.address(outsideZone, 2, emulatorPort) }
+func (i *Install) storeAddress() string    { return i.address(externalZoneNumber, 1, emulatorPort) }
+func (i *Install) platformAddress() string { return i.address(externalZoneNumber, 2, emulatorPort) }
 
-func (i *Install) common(node, zone string, number, host int) option.Common {
+func (i *Install) commonSettings(node, zone string, number, host int) option.Common {
 	return option.Common{
 		Cluster: i.profile.name,
 		Node:    node,
@@ -158,7 +157,7 @@
 func (i *Install) writeControlNodes() error {
 	for n, zone := range i.zones {
 		settings := option.ControlNode{
-			Common:       i.common("control-"+zone, zone, n+1, controlNodeNumber),
+			Common:       i.commonSettings("control-"+zone, zone, n+1, controlNodeNumber),
 			Folder:       filepath.Join(i.folder, "data", "control-"+zone),
 			ControlNodes: i.controlNodes(),
 			DiskCheck:    config.Duration(option.DefaultDiskCheck),
@@ -173,7 +172,7 @@
 func (i *Install) writePlanners() error {
 	for n, zone := range i.zones {
 		settings := option.Planner{
-			Common:       i.common("planner-"+zone, zone, n+1, plannerFirst),
+			Common:       i.commonSettings("planner-"+zone, zone, n+1, plannerNumber),
 			ControlNodes: i.controlNodes(),
 			Platform:     i.platformAddress(),
 			ConfigWait:   config.Duration(option.DefaultConfigWait),
@@ -186,13 +185,13 @@
 	return nil
 }
 
-func (i *Install) writeEntries() error {
+func (i *Install) writeGateways() error {
 	for n, zone := range i.zones {
-		for e := 0; e < entriesPerZone; e++ {
+		for e := 0; e < gatewaysPerZone; e++ {
 			node := fmt.Sprintf("gateway-%s-%d", zone, e+1)
 			settings := option.Gateway{
-				Common:       i.common(node, zone, n+1, gatewayFirst+e),
-				Clients:      i.address(n+1, gatewayFirst+e, clientsPort),
+				Common:       i.commonSettings(node, zone, n+1, firstGatewayNumber+e),
+				Clients:      i.address(n+1, firstGatewayNumber+e, clientsPort),
 				ControlNodes: i.controlNodes(),
 				BalancerLag:  config.Duration(demoBalancerLag),
 				DrainLimit:   config.Duration(demoDrainLimit),
@@ -208,7 +207,7 @@
 					TokenWait:  config.Duration(2 * time.Second),
 				},
 			}
-			i.entries = append(i.entries, EntryAddress{Clients: settings.Clients, Admin: settings.Admin})
+			i.gateways = append(i.gateways, GatewayAddress{Clients: settings.Clients, Admin: settings.Admin})
 			if err := i.write(node, settings); err != nil {
 				return err
 			}
@@ -217,10 +216,10 @@
 	return nil
 }
 
-// writeEmulators writes the backend servers: engines for pools with
-// accelerators of models, plain services for pools that services name.
+// writeEmulators writes the settings of the backend servers: plain services for the pools that a
+// service names, engines for all others.
 func (i *Install) writeEmulators() error {
-	i.planWarm()
+	i.planWarmCopies()
 	engines, services := map[int]int{}, map[int]int{}
 	for _, object := range i.set.OfKind(config.KindPool) {
 		for _, zone := range object.Pool.Zones {
@@ -249,12 +248,12 @@
 	settings := Settings{Host: name}
 	if i.set.Service(pool.Key.Name) != nil {
 		settings.Kind = KindService
-		settings.Listen = i.address(n, serviceFirst+services[n], emulatorPort)
+		settings.Listen = i.address(n, firstServiceNumber+services[n], emulatorPort)
 		settings.Work = config.Duration(emulatorWork)
 		services[n]++
 	} else {
 		settings.Kind = KindEngine
-		settings.Listen = i.address(n, engineFirst+engines[n], emulatorPort)
+		settings.Listen = i.address(n, firstEngineNumber+engines[n], emulatorPort)
 		settings.Accelerators = pool.Pool.Accelerators
 		settings.Memory = pool.Pool.Memory - pool.Pool.Overhead
 		settings.Slots = emulatorSlots
@@ -262,17 +261,17 @@
 		settings.Gap = config.Duration(emulatorGap)
 		settings.Checks = pool.Pool.ChecksOrders
 		settings.Store = i.storeAddress()
-		settings.Warm = i.planned[name]
+		settings.Warm = i.warmCopies[name]
 		engines[n]++
 	}
 	i.hosts = append(i.hosts, ListedHost{Name: name, Pool: pool.Key.Name, Zone: zone, Address: settings.Listen})
 	return i.write("emulator-"+name, settings)
 }
 
-// planWarm gives each zone one copy of every model that lives there, as an
-// installation has that has been running: from nothing the weight store would
-// take longer than a demo lasts.
-func (i *Install) planWarm() {
+// planWarmCopies assigns each zone one ready copy of every model that is assigned to it, as if the
+// installation had been running for a while: loading all models from the weight store would take
+// longer than the demo.
+func (i *Install) planWarmCopies() {
 	for _, zone := range i.zones {
 		in := place.Input{Spares: true, Weigh: config.WeighMoves, Loads: len(i.set.ModelNames())}
 		for _, object := range i.set.OfKind(config.KindPool) {
@@ -287,7 +286,7 @@
 		}
 		in.Loads = len(in.Models)
 		for _, step := range place.Plan(in).Steps {
-			i.warm(in.Accelerators[step.Accelerator], step.Model)
+			i.addWarmCopies(in.Accelerators[step.Accelerator], step.Model)
 		}
 	}
 }
@@ -313,15 +312,15 @@
 	return all
 }
 
-func (i *Install) warm(at place.Accelerator, name string) {
+func (i *Install) addWarmCopies(at place.Accelerator, name string) {
 	model := i.set.Model(name)
-	i.planned[at.Host] = append(i.planned[at.Host], WarmCopy{Model: name, Version: model.Version, Accelerator: at.Index, Bytes: model.Memory + model.KVFloor})
+	i.warmCopies[at.Host] = append(i.warmCopies[at.Host], WarmCopy{Model: name, Version: model.Version, Accelerator: at.Index, Bytes: model.Memory + model.KVFloor})
 	for _, adapter := range i.set.AdapterNames(name) {
-		i.planned[at.Host] = append(i.planned[at.Host], WarmCopy{Model: name, Adapter: adapter, Version: model.Version, Accelerator: at.Index, Bytes: i.set.Adapter(adapter).Memory})
+		i.warmCopies[at.Host] = append(i.warmCopies[at.Host], WarmCopy{Model: name, Adapter: adapter, Version: model.Version, Accelerator: at.Index, Bytes: i.set.Adapter(adapter).Memory})
 	}
 }
 
-func (i *Install) writeOutside() error {
+func (i *Install) writeExternal() error {
 	policy := i.set.Policy()
 	store := Settings{
 		Kind:           KindStore,
@@ -339,16 +338,16 @@
 
 func (i *Install) writeLoad() error {
 	e := Experiment{
-		Seed:     7,
-		Duration: config.Duration(45 * time.Second),
-		Rate:     i.profile.rate,
-		Bursts:   Bursts{Every: config.Duration(9 * time.Second), Length: config.Duration(2 * time.Second), Factor: 3},
-		Tokens:   defaultTokens,
-		Whole:    0.2,
-		Skew:     1,
-		Tries:    clientTries,
-		Target:   config.Target{FirstToken: config.Duration(420 * time.Millisecond), BetweenTokens: config.Duration(75 * time.Millisecond)},
-		Entries:  i.entries,
+		Seed:       7,
+		Duration:   config.Duration(45 * time.Second),
+		Rate:       i.profile.rate,
+		Bursts:     Bursts{Every: config.Duration(9 * time.Second), Length: config.Duration(2 * time.Second), Factor: 3},
+		Tokens:     defaultTokens,
+		Unstreamed: 0.2,
+		Skew:       1,
+		Tries:      defaultTries,
+		Target:     config.Target{FirstToken: config.Duration(420 * time.Millisecond), BetweenTokens: config.Duration(75 * time.Millisecond)},
+		Gateways:   i.gateways,
 	}
 	for _, object := range i.set.OfKind(config.KindService) {
 		e.Service = ServiceLoad{Name: object.Key.Name, Lookup: 0.15, Register: 0.05}
--- a/src/emulator/load.go
+++ b/src/emulator/load.go
@@ -19,17 +19,17 @@
 	"github.com/moorspool/moorspool/src/service"
 )
 
-// The load tool's times.
+// Time limits and defaults of the load tool.
 const (
-	tokenWait  = 15 * time.Second
-	settleWait = 20 * time.Second
-	namesWait  = 20 * time.Second
-	// clientTries is how often a client asks in all where an experiment does not say.
-	clientTries = 4
+	tokenTimeout  = 15 * time.Second
+	settleTimeout = 20 * time.Second
+	namesTimeout  = 20 * time.Second
+	// defaultTries is the maximum number of attempts of a request where the experiment sets none.
+	defaultTries = 4
 )
 
-// Loader drives an experiment's load, open loop: requests start at their times
-// however long others take, and count from the time at which they were due.
+// Loader generates an experiment's load as an open loop: each request starts when it is due, however
+// long others take, and its latency is measured from then.
 type Loader struct {
 	experiment Experiment
 	balancer   *balancer
@@ -38,20 +38,20 @@
 	random     *rand.Rand
 	names      []string
 	tally      *Tally
-	wait       sync.WaitGroup
+	running    sync.WaitGroup
 }
 
-// NewLoader returns a loader of an experiment.
+// NewLoader returns a loader for an experiment.
 func NewLoader(e Experiment) (*Loader, error) {
-	b, err := newBalancer(e.Entries)
+	b, err := newBalancer(e.Gateways)
 	if err != nil {
 		return nil, err
 	}
-	streams, err := engine.NewStreams(nil, tokenWait)
+	streams, err := engine.NewStreams(nil, tokenTimeout)
 	if err != nil {
 		return nil, err
 	}
-	plain, err := service.New(nil, tokenWait)
+	plain, err := service.New(nil, tokenTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -65,24 +65,24 @@
 	}, nil
 }
 
-// Run drives the load, waits for the last answers, asks the emulators what they
-// saw and returns the result.
+// Run generates the load, waits for the last answers, collects the emulators' counters and returns
+// the result.
 func (l *Loader) Run(ctx context.Context) (Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go l.balancer.run(ctx)
-	if err := l.learnNames(ctx); err != nil {
+	if err := l.waitForNames(ctx); err != nil {
 		return Result{}, err
 	}
-	l.drive(ctx)
+	l.startRequests(ctx)
 	done := make(chan struct{})
 	go func() {
-		l.wait.Wait()
+		l.running.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(settleWait):
+	case <-time.After(settleTimeout):
 		cancel()
 		<-done
 	}
@@ -98,11 +98,11 @@
 	Data []listedModel `json:"data"`
 }
 
-// learnNames asks a gateway for the names until every one is ready.
-func (l *Loader) learnNames(ctx context.Context) error {
-	until := time.Now().Add(namesWait)
+// waitForNames polls a gateway for the list of models until every one is ready.
+func (l *Loader) waitForNames(ctx context.Context) error {
+	until := time.Now().Add(namesTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		sleep(ctx, balancerEvery)
+		sleep(ctx, balancerInterval)
 		body, err := l.balancer.get(ctx, l.balancer.pick(l.random), "/v1/models")
 		if err != nil {
 			continue
@@ -127,8 +127,8 @@
 	return errors.Errorf("only %d names are ready", len(l.names))
 }
 
-// drive starts requests at random times of the experiment's rate.
-func (l *Loader) drive(ctx context.Context) {
+// startRequests starts requests at random times, at the experiment's mean rate.
+func (l *Loader) startRequests(ctx context.Context) {
 	began := time.Now()
 	due := time.Duration(0)
 	for {
@@ -145,7 +145,8 @@
 	}
 }
 
-// burst returns the number of the burst that a time falls into, if any.
+// burst returns the number of the burst interval that contains a time, and whether the time is
+// within the burst.
 func (l *Loader) burst(at time.Duration) (int, bool) {
 	b := l.experiment.Bursts
 	if b.Every <= 0 {
@@ -155,7 +156,8 @@
 	return number, at%b.Every.Std() >= b.Every.Std()-b.Length.Std()
 }
 
-// name draws a model, adapter or label: by popularity, or in a burst from a few.
+// name draws the name of a model, adapter or label by popularity; half of a burst's requests draw
+// from three names.
 func (l *Loader) name(burst int, inBurst bool) string {
 	n := len(l.names)
 	if inBurst && l.random.IntN(2) == 0 {
@@ -167,82 +169,82 @@
 
 func (l *Loader) start(ctx context.Context, due time.Time, burst int, inBurst bool) {
 	draw := l.random.Float64()
-	shot := shot{loader: l, due: due, id: uuid.NewString(), random: rand.New(rand.NewPCG(l.random.Uint64(), 1))}
-	shot.prompt = fmt.Sprintf("request %s of group %d", shot.id[:8], l.random.IntN(40))
-	run := shot.complete
+	clientRequest := clientRequest{loader: l, due: due, id: uuid.NewString(), random: rand.New(rand.NewPCG(l.random.Uint64(), 1))}
+	clientRequest.prompt = fmt.Sprintf("request %s of group %d", clientRequest.id[:8], l.random.IntN(40))
+	run := clientRequest.complete
 	switch s := l.experiment.Service; {
 	case draw < s.Lookup:
-		run = shot.lookUp
+		run = clientRequest.lookUp
 	case draw < s.Lookup+s.Register:
-		run = shot.register
+		run = clientRequest.register
 	default:
-		shot.name = l.name(burst, inBurst)
-		shot.whole = l.random.Float64() < l.experiment.Whole
+		clientRequest.name = l.name(burst, inBurst)
+		clientRequest.unstreamed = l.random.Float64() < l.experiment.Unstreamed
 	}
-	l.wait.Add(1)
+	l.running.Add(1)
 	go func() {
-		defer l.wait.Done()
+		defer l.running.Done()
 		run(ctx)
 	}()
 }
 
-// shot is one client's request with its repetitions.
-type shot struct {
-	loader *Loader
-	due    time.Time
-	id     string
-	name   string
-	prompt string
-	whole  bool
-	random *rand.Rand
+// clientRequest is one request of a client with its retries.
+type clientRequest struct {
+	loader     *Loader
+	due        time.Time
+	id         string
+	name       string
+	prompt     string
+	unstreamed bool
+	random     *rand.Rand
 }
 
-type completionOut struct {
+type completionRequest struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
 	MaxTokens int           `json:"max_tokens"`
 	Messages  []chatMessage `json:"messages"`
 }
 
-// attempt is one try's id: the emulators count runs by it.
-func (s *shot) attempt(n int) string { return fmt.Sprintf("%s.%d", s.id, n) }
+// attemptID returns the ID of one attempt, by which the emulators count runs.
+func (r *clientRequest) attemptID(n int) string { return fmt.Sprintf("%s.%d", r.id, n) }
 
-// complete asks for a completion; a refusal that says not run is tried again
-// through the balancer, as a client would.
-func (s *shot) complete(ctx context.Context) {
+// complete requests a completion. As a client would, it retries through the balancer after a refusal
+// that says that the request did not run.
+func (r *clientRequest) complete(ctx context.Context) {
 	for n := 1; ; n++ {
-		outcome := s.completeOnce(ctx, s.attempt(n))
-		s.loader.tally.add(s.attempt(n), outcome)
-		if outcome.kind != refusedNotRun || n >= s.loader.experiment.Tries {
-			s.loader.tally.finish(outcome)
+		outcome := r.completeOnce(ctx, r.attemptID(n))
+		r.loader.tally.add(r.attemptID(n), outcome)
+		if outcome.kind != refusedNotRun || n >= r.loader.experiment.Tries {
+			r.loader.tally.finish(outcome)
 			return
 		}
-		sleep(ctx, time.Duration(100+s.random.IntN(200))*time.Millisecond)
+		sleep(ctx, time.Duration(100+r.random.IntN(200))*time.Millisecond)
 	}
 }
 
-func (s *shot) completeOnce(ctx context.Context, id string) outcome {
-	l := s.loader
-	body, err := json.Marshal(completionOut{Model: s.name, Stream: !s.whole, MaxTokens: l.experiment.Tokens, Messages: []chatMessage{{Role: "user", Content: s.prompt}}})
+func (r *clientRequest) completeOnce(ctx context.Context, id string) outcome {
+	l := r.loader
+	body, err := json.Marshal(completionRequest{Model: r.name, Stream: !r.unstreamed, MaxTokens: l.experiment.Tokens, Messages: []chatMessage{{Role: "user", Content: r.prompt}}})
 	if err != nil {
 		return outcome{kind: lost, reason: err.Error()}
 	}
-	address := l.balancer.pick(s.random)
+	address := l.balancer.pick(r.random)
 	if address == "" {
 		return outcome{kind: refusedNotRun, reason: "the balancer has no gateway"}
 	}
-	if s.whole {
-		return s.completeWhole(ctx, address, id, body)
+	if r.unstreamed {
+		return r.completeUnstreamed(ctx, address, id, body)
 	}
 	stream, err := l.streams.Open(ctx, address, engine.Request{Path: engine.PathChat, Body: body, ID: id, Deadline: l.experiment.Deadline.Std()})
 	if err != nil {
-		return refused(err)
+		return refusalOutcome(err)
 	}
 	defer stream.Close()
-	return s.read(stream)
+	return r.read(stream)
 }
 
-func refused(err error) outcome {
+func refusalOutcome(err error) outcome {
 	var failure *engine.Failure
 	if errors.As(err, &failure) && failure.NotRun {
 		return outcome{kind: refusedNotRun, reason: err.Error()}
@@ -253,10 +255,10 @@
 	return outcome{kind: lost, reason: err.Error()}
 }
 
-// read takes a stream and compares it with what the emulator engines say.
-func (s *shot) read(stream *engine.Stream) outcome {
+// read reads a stream and compares it with the tokens that the emulated engines generate.
+func (r *clientRequest) read(stream *engine.Stream) outcome {
 	var text strings.Builder
-	o := outcome{kind: whole}
+	o := outcome{kind: complete}
 	var lastAt time.Time
 	for {
 		token, err := stream.Next()
@@ -271,9 +273,9 @@
 			return outcome{kind: lost, reason: err.Error()}
 		}
 		if o.tokens == 0 {
-			o.first = now.Sub(s.due)
+			o.first = now.Sub(r.due)
 		} else {
-			o.slowest = max(o.slowest, now.Sub(lastAt))
+			o.longestGap = max(o.longestGap, now.Sub(lastAt))
 			o.between += now.Sub(lastAt)
 		}
 		lastAt = now
@@ -284,11 +286,11 @@
 		}
 		text.WriteString(part.Choices[0].Delta.Content)
 	}
-	return s.compare(o, text.String())
+	return r.compare(o, text.String())
 }
 
-func (s *shot) compare(o outcome, text string) outcome {
-	want := Answer(s.name, s.prompt, s.loader.experiment.Tokens)
+func (r *clientRequest) compare(o outcome, text string) outcome {
+	want := Answer(r.name, r.prompt, r.loader.experiment.Tokens)
 	switch {
 	case text == want:
 		return o
@@ -300,25 +302,26 @@
 	return o
 }
 
-type wholeIn struct {
+type completionResponse struct {
 	Choices []struct {
 		Message chatMessage `json:"message"`
 	} `json:"choices"`
 }
 
-func (s *shot) completeWhole(ctx context.Context, address, id string, body []byte) outcome {
-	answer, err := s.loader.plain.Do(ctx, address, service.Call{Method: consts.MethodPost, Path: engine.PathChat, ContentType: "application/json", Body: body, ID: id})
+func (r *clientRequest) completeUnstreamed(ctx context.Context, address, id string, body []byte) outcome {
+	answer, err := r.loader.plain.Do(ctx, address, service.Call{Method: consts.MethodPost, Path: engine.PathChat, ContentType: "application/json", Body: body, ID: id})
 	if o, ok := plainOutcome(answer, err); !ok {
 		return o
 	}
-	var in wholeIn
+	var in completionResponse
 	if err := json.Unmarshal(answer.Body, &in); err != nil || len(in.Choices) != 1 {
 		return outcome{kind: mixed, reason: "the answer is not a completion"}
 	}
-	return s.compare(outcome{kind: whole, unstreamed: true, first: time.Since(s.due)}, in.Choices[0].Message.Content)
+	return r.compare(outcome{kind: complete, unstreamed: true, first: time.Since(r.due)}, in.Choices[0].Message.Content)
 }
 
-// plainOutcome returns the outcome of a call without a whole answer.
+// plainOutcome returns the outcome of a failed or refused call; it reports true if the call was
+// answered with status 200.
 func plainOutcome(answer service.Answer, err error) (outcome, bool) {
 	var failure *service.Failure
 	switch {
@@ -332,42 +335,42 @@
 	return outcome{}, true
 }
 
-// lookUp asks the plain service for a record; it may be repeated.
-func (s *shot) lookUp(ctx context.Context) {
-	s.call(ctx, consts.MethodGet, "/records/"+s.id, "")
+// lookUp requests a record from the plain service; such a call may run more than once.
+func (r *clientRequest) lookUp(ctx context.Context) {
+	r.call(ctx, consts.MethodGet, "/records/"+r.id, "")
 }
 
-// register registers a form under a key; it may not be repeated.
-func (s *shot) register(ctx context.Context) {
-	s.call(ctx, consts.MethodPost, "/register", s.id)
+// register submits a form to the plain service under an idempotency key; it must run at most once.
+func (r *clientRequest) register(ctx context.Context) {
+	r.call(ctx, consts.MethodPost, "/register", r.id)
 }
 
-func (s *shot) call(ctx context.Context, method, path, key string) {
-	l := s.loader
+func (r *clientRequest) call(ctx context.Context, method, path, key string) {
+	l := r.loader
 	for n := 1; ; n++ {
-		o := s.callOnce(ctx, method, path, key, s.attempt(n))
-		l.tally.add(s.attempt(n), o)
-		if o.kind != refusedNotRun || n >= s.loader.experiment.Tries {
+		o := r.callOnce(ctx, method, path, key, r.attemptID(n))
+		l.tally.add(r.attemptID(n), o)
+		if o.kind != refusedNotRun || n >= r.loader.experiment.Tries {
 			o.once = key != ""
 			l.tally.finish(o)
 			return
 		}
-		sleep(ctx, time.Duration(100+s.random.IntN(200))*time.Millisecond)
+		sleep(ctx, time.Duration(100+r.random.IntN(200))*time.Millisecond)
 	}
 }
 
-func (s *shot) callOnce(ctx context.Context, method, path, key, id string) outcome {
-	address := s.loader.balancer.pick(s.random)
+func (r *clientRequest) callOnce(ctx context.Context, method, path, key, id string) outcome {
+	address := r.loader.balancer.pick(r.random)
 	if address == "" {
 		return outcome{kind: refusedNotRun, reason: "the balancer has no gateway"}
 	}
-	call := service.Call{Method: method, Path: "/services/" + s.loader.experiment.Service.Name + path, ID: id, Key: key}
+	call := service.Call{Method: method, Path: "/services/" + r.loader.experiment.Service.Name + path, ID: id, Key: key}
 	if key != "" {
-		call.Body = []byte(s.prompt)
+		call.Body = []byte(r.prompt)
 		call.ContentType = "text/plain"
 		call.Once = true
 	}
-	answer, err := s.loader.plain.Do(ctx, address, call)
+	answer, err := r.loader.plain.Do(ctx, address, call)
 	if o, ok := plainOutcome(answer, err); !ok {
 		return o
 	}
@@ -375,12 +378,12 @@
 	if err := json.Unmarshal(answer.Body, &echo); err != nil || echo.Request != id || echo.Path != path || echo.Echo != string(call.Body) {
 		return outcome{kind: mixed, reason: "the answer is another's"}
 	}
-	return outcome{kind: whole, unstreamed: true, first: time.Since(s.due)}
+	return outcome{kind: complete, unstreamed: true, first: time.Since(r.due)}
 }
 
-// result asks the emulators what they saw.
+// result collects the emulators' counters and returns the result.
 func (l *Loader) result() Result {
-	ctx, cancel := context.WithTimeout(context.Background(), tokenWait)
+	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
 	defer cancel()
 	var all []Stats
 	for _, address := range l.experiment.Emulators {
--- a/src/emulator/main.go
+++ b/src/emulator/main.go
@@ -21,7 +21,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute runs an emulator until a signal.
+// Execute runs an emulator until a termination signal.
 func (c *runCommand) Execute([]string) error {
 	settings, err := ReadSettings(c.Args.File)
 	if err != nil {
@@ -42,7 +42,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute drives an experiment's load and prints the result; it fails if a promise was broken.
+// Execute generates an experiment's load and prints the result; it returns an error if a check
+// failed.
 func (c *loadCommand) Execute([]string) error {
 	experiment, err := ReadExperiment(c.Args.File)
 	if err != nil {
@@ -59,10 +60,10 @@
 		return err
 	}
 	fmt.Print(result.Table())
-	if broken := result.Broken(); len(broken) > 0 {
-		return errors.Errorf("broken promises: %v", broken)
+	if violations := result.Violations(); len(violations) > 0 {
+		return errors.Errorf("checks failed: %v", violations)
 	}
-	fmt.Println("every promise held")
+	fmt.Println("all checks passed")
 	return nil
 }
 
@@ -89,12 +90,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// postWait bounds a post.
-const postWait = 5 * time.Second
+// postTimeout limits the time of the HTTP request.
+const postTimeout = 5 * time.Second
 
-// Execute posts JSON to an emulator, to switch its faults.
+// Execute posts JSON to an emulator, for example to switch its faults.
 func (c *postCommand) Execute([]string) error {
-	client := http.Client{Timeout: postWait}
+	client := http.Client{Timeout: postTimeout}
 	response, err := client.Post(c.Args.URL, "application/json", bytes.NewBufferString(c.Args.Body))
 	if err != nil {
 		return errors.Wrap(err, "posting")
@@ -114,15 +115,15 @@
 	return nil
 }
 
-// Command is a further command of the tool.
+// Command is an additional subcommand of the tool.
 type Command struct {
 	Name  string
 	Short string
 	Data  any
 }
 
-// Main runs moorspool-emulator, with further commands, and returns its exit code.
-func Main(arguments []string, further ...Command) int {
+// Main runs moorspool-emulator with additional subcommands and returns its exit code.
+func Main(arguments []string, extra ...Command) int {
 	p := flags.NewNamedParser("moorspool-emulator", flags.HelpFlag|flags.PassDoubleDash)
 	add := func(name, short string, command any) {
 		if _, err := p.AddCommand(name, short, short, command); err != nil {
@@ -134,7 +135,7 @@
 	add("sweep", "drive an experiment at several multiples of the engines' capacity", &sweepCommand{})
 	add("settings", "write the settings of a demo installation", &settingsCommand{})
 	add("post", "post JSON to an emulator", &postCommand{})
-	for _, command := range further {
+	for _, command := range extra {
 		add(command.Name, command.Short, command.Data)
 	}
 	add("version", "print the version", &versionCommand{})
--- a/src/emulator/memory.go
+++ b/src/emulator/memory.go
@@ -9,8 +9,8 @@
 	"github.com/moorspool/moorspool/src/engine"
 )
 
-// memory is an engine's accelerators with what is on them. It polices its own
-// limits and counts every order that would have broken them.
+// memory holds the copies on an engine's accelerators. It enforces their memory limits and counts
+// the orders that would have exceeded them.
 type memory struct {
 	mu          sync.Mutex
 	host        string
@@ -38,7 +38,7 @@
 	}
 }
 
-func (m *memory) used(accelerator int) config.Bytes {
+func (m *memory) usedBytes(accelerator int) config.Bytes {
 	var sum config.Bytes
 	for _, c := range m.copies {
 		if c.Accelerator == accelerator {
@@ -57,16 +57,15 @@
 	return nil
 }
 
-// take carries out an order as far as it can at once. It returns the copy that
-// is to be loaded or unloaded, if any.
-func (m *memory) take(order engine.Order) (engine.OrderReply, *engine.Copy) {
+// apply applies an order. It returns the copy that is then to be loaded or unloaded, nil if none.
+func (m *memory) apply(order engine.Order) (engine.OrderReply, *engine.Copy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.version++
-	if m.checks && m.stale(order) {
+	if m.checks && m.isStale(order) {
 		return engine.OrderReply{Outcome: engine.OrderStale}, nil
 	}
-	if !m.stale(order) {
+	if !m.isStale(order) {
 		m.epoch, m.lastOrder = order.Epoch, order.Seq
 	}
 	switch order.Action {
@@ -80,7 +79,7 @@
 	return engine.OrderReply{Outcome: engine.OrderInvalid, Reason: "unknown action"}, nil
 }
 
-func (m *memory) stale(order engine.Order) bool {
+func (m *memory) isStale(order engine.Order) bool {
 	return order.Epoch < m.epoch || (order.Epoch == m.epoch && order.Seq <= m.lastOrder)
 }
 
@@ -91,7 +90,7 @@
 	if m.find(order.Weights, order.Accelerator) != nil {
 		return engine.OrderReply{Outcome: engine.OrderTaken, Reason: "here already"}, nil
 	}
-	if m.used(order.Accelerator)+order.Bytes > m.capacity[order.Accelerator] {
+	if m.usedBytes(order.Accelerator)+order.Bytes > m.capacity[order.Accelerator] {
 		m.breaches++
 		return engine.OrderReply{Outcome: engine.OrderNoMemory}, nil
 	}
@@ -101,7 +100,7 @@
 	return engine.OrderReply{Outcome: engine.OrderTaken}, c
 }
 
-// unload marks a model with its adapters, or one adapter, to go.
+// unload marks an adapter, or a model with its adapters, as unloading.
 func (m *memory) unload(order engine.Order) (engine.OrderReply, *engine.Copy) {
 	c := m.find(order.Weights, order.Accelerator)
 	if c == nil {
@@ -126,24 +125,25 @@
 	}
 }
 
-// free drops an unloading copy, with its adapters, once no request runs on it.
-func (m *memory) free(c *engine.Copy) bool {
+// removeIfIdle removes an unloading copy, with its adapters, once no request runs on it. It reports
+// whether it did.
+func (m *memory) removeIfIdle(c *engine.Copy) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	family := func(other *engine.Copy) bool {
+	affected := func(other *engine.Copy) bool {
 		if other == c {
 			return true
 		}
 		return c.Weights.Adapter == "" && other.Accelerator == c.Accelerator && other.Weights.Model == c.Weights.Model && other.Weights.Version == c.Weights.Version
 	}
 	for other, running := range m.running {
-		if running > 0 && family(other) {
+		if running > 0 && affected(other) {
 			return false
 		}
 	}
 	kept := m.copies[:0:0]
 	for _, other := range m.copies {
-		if !family(other) {
+		if !affected(other) {
 			kept = append(kept, other)
 		}
 	}
@@ -152,8 +152,9 @@
 	return true
 }
 
-// enter begins a request on a ready copy of a model or adapter; nil if there is none.
-func (m *memory) enter(name string) *engine.Copy {
+// acquire counts a request on a ready copy of a model or adapter and returns the copy, nil if there
+// is none.
+func (m *memory) acquire(name string) *engine.Copy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.copies {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-func (m *memory) exit(c *engine.Copy) {
+func (m *memory) release(c *engine.Copy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.running[c]--
@@ -175,15 +176,15 @@
 	}
 }
 
-// report returns the engine's report without its load; for an asker that has
-// the present version, only what changes all the time.
+// report returns the engine's report without its load. If known is the current version, the report
+// omits everything that this version covers.
 func (m *memory) report(known string) engine.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
-	same := engine.Report{Host: m.host, Incarnation: m.incarnation, Seq: m.seq, Version: m.version, Same: true, Breaches: m.breaches}
-	if known != "" && known == same.Known() {
-		return same
+	unchanged := engine.Report{Host: m.host, Incarnation: m.incarnation, Seq: m.seq, Version: m.version, Same: true, Breaches: m.breaches}
+	if known != "" && known == unchanged.Known() {
+		return unchanged
 	}
 	r := engine.Report{
 		Host:        m.host,
--- a/src/emulator/settings.go
+++ b/src/emulator/settings.go
@@ -22,7 +22,7 @@
 	KindPlatform = "platform"
 )
 
-// Settings describe one emulator process; they are read from YAML.
+// Settings configure one emulator process; they are read from a YAML file.
 type Settings struct {
 	Kind   string `yaml:"kind"`
 	Listen string `yaml:"listen"`
@@ -47,7 +47,7 @@
 	Hosts []ListedHost    `yaml:"hosts,omitempty"`
 }
 
-// WarmCopy is what an engine holds ready at its start.
+// WarmCopy is a copy that is ready when its engine starts.
 type WarmCopy struct {
 	Model       string       `yaml:"model"`
 	Adapter     string       `yaml:"adapter,omitempty"`
@@ -56,7 +56,7 @@
 	Bytes       config.Bytes `yaml:"bytes"`
 }
 
-// ListedHost is a line of the platform's list.
+// ListedHost is an entry of the platform's host list.
 type ListedHost struct {
 	Name    string `yaml:"name"`
 	Pool    string `yaml:"pool"`
@@ -64,7 +64,8 @@
 	Address string `yaml:"address"`
 }
 
-// ReadSettings reads an emulator's settings; unknown keys are errors with their place.
+// ReadSettings reads an emulator's settings. Unknown keys are reported as findings with file and
+// line.
 func ReadSettings(file string) (Settings, error) {
 	var s Settings
 	text, err := os.ReadFile(file)
@@ -128,7 +129,7 @@
 	return hosts
 }
 
-// The emulator engines' speed: well inside the targets when idle.
+// Speed of the demo's emulators: an idle engine is well within the latency targets.
 const (
 	emulatorSlots   = 16
 	emulatorPrefill = 60 * time.Millisecond
@@ -137,7 +138,7 @@
 	platformLag     = 1500 * time.Millisecond
 )
 
-// emulatorBandwidth is what one load gets of the weight store at full speed.
+// emulatorBandwidth is the bandwidth of one load from the weight store at full speed.
 const emulatorBandwidth = 8 * config.GiB
 
 func hostName(pool, zone string, number int) string {
--- a/src/emulator/sweep.go
+++ b/src/emulator/sweep.go
@@ -24,17 +24,17 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// multiples are the loads of a sweep, in parts of the engines' capacity.
+// multiples are the loads of a sweep as multiples of the engines' capacity.
 var multiples = []float64{0.5, 0.8, 1.0, 1.5}
 
-// capacityOf is what the emulator engines finish in a second: beyond their slots
-// they share, so that more at once makes each slower and nothing faster.
-func capacityOf(e Experiment) float64 {
+// engineCapacity returns how many requests a second the emulated engines complete. More concurrent
+// requests than slots slow each other down, so that the capacity does not grow beyond the slots.
+func engineCapacity(e Experiment) float64 {
 	service := emulatorPrefill + time.Duration(e.Tokens)*emulatorGap
 	return float64(e.Accelerators*emulatorSlots) / service.Seconds()
 }
 
-// Execute drives the load at each multiple and prints a row for each.
+// Execute generates the load at each multiple and prints a row for it.
 func (c *sweepCommand) Execute([]string) error {
 	e, err := ReadExperiment(c.Args.File)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err := length.UnmarshalText([]byte(c.Length)); err != nil {
 		return err
 	}
-	e.Duration, e.Bursts, e.Service, e.Whole, e.Tries = length, Bursts{}, ServiceLoad{}, 0, 1
+	e.Duration, e.Bursts, e.Service, e.Unstreamed, e.Tries = length, Bursts{}, ServiceLoad{}, 0, 1
 	ctx, cancel := process.UntilSignal()
 	defer cancel()
 	if _, err := runAt(ctx, e, c.Warm); err != nil {
@@ -55,20 +55,20 @@
 		if err != nil {
 			return err
 		}
-		row := sweepRow(c.Name, multiple, e, result)
+		row := newSweepResult(c.Name, multiple, e, result)
 		fmt.Println(row.text())
 		if err := row.append(c.CSV); err != nil {
 			return err
 		}
-		if broken := result.Broken(); len(broken) > 0 {
-			return errors.Errorf("broken promises at %v x: %v", multiple, broken)
+		if violations := result.Violations(); len(violations) > 0 {
+			return errors.Errorf("checks failed at %v x: %v", multiple, violations)
 		}
 	}
 	return nil
 }
 
 func runAt(ctx context.Context, e Experiment, multiple float64) (Result, error) {
-	e.Rate = capacityOf(e) * multiple
+	e.Rate = engineCapacity(e) * multiple
 	loader, err := NewLoader(e)
 	if err != nil {
 		return Result{}, err
@@ -76,8 +76,8 @@
 	return loader.Run(ctx)
 }
 
-// sweepLine is one step's outcome.
-type sweepLine struct {
+// sweepResult is the result of one step.
+type sweepResult struct {
 	name     string
 	multiple float64
 	requests int
@@ -88,8 +88,8 @@
 	between  [3]time.Duration
 }
 
-func sweepRow(name string, multiple float64, e Experiment, r Result) sweepLine {
-	return sweepLine{
+func newSweepResult(name string, multiple float64, e Experiment, r Result) sweepResult {
+	return sweepResult{
 		name:     name,
 		multiple: multiple,
 		requests: r.Requests,
@@ -101,12 +101,12 @@
 	}
 }
 
-func (l sweepLine) text() string {
+func (l sweepResult) text() string {
 	return fmt.Sprintf("%-15s %4.1fx %6d requests  attained %5.1f %%  goodput %6.1f/s  refused %5d  first token %v  between %v", l.name, l.multiple, l.requests, 100*l.attained, l.goodput, l.refused, l.first, l.between)
 }
 
-// append adds the row to a CSV file, "" for none.
-func (l sweepLine) append(name string) error {
+// append appends the row to a CSV file, or does nothing if the name is "".
+func (l sweepResult) append(name string) error {
 	if name == "" {
 		return nil
 	}
--- a/src/emulator/tally.go
+++ b/src/emulator/tally.go
@@ -12,10 +12,11 @@
 	"github.com/moorspool/moorspool/src/config"
 )
 
+// outcomeKind classifies the result of an attempt.
 type outcomeKind int
 
 const (
-	whole outcomeKind = iota
+	complete outcomeKind = iota
 	refusedNotRun
 	refusedUnknown
 	brokenOff
@@ -23,47 +24,47 @@
 	mixed
 )
 
-// outcome is what a client got for one attempt.
+// outcome is the result of one attempt as the client sees it.
 type outcome struct {
 	kind       outcomeKind
 	reason     string
 	tokens     int
 	first      time.Duration
 	between    time.Duration
-	slowest    time.Duration
+	longestGap time.Duration
 	unstreamed bool
 	once       bool
 }
 
-// The histograms' range: microseconds up to a minute, three digits.
+// Range and precision of the histograms: one microsecond to a minute, three digits.
 const (
-	histogramMost   = int64(time.Minute / time.Microsecond)
+	histogramMax    = int64(time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Tally counts outcomes; it is safe for concurrent use.
+// Tally counts outcomes. It is safe for concurrent use.
 type Tally struct {
 	target config.Target
 	mu     sync.Mutex
 	counts Counts
 	first  *hdrhistogram.Histogram
 	gaps   *hdrhistogram.Histogram
-	// notRun holds the attempts that were refused as not run.
+	// notRun holds the attempts whose refusal said that they did not run.
 	notRun  map[string]bool
 	reasons map[string]int
 }
 
-// Counts are what clients saw.
+// Counts are the results as clients saw them.
 type Counts struct {
 	Requests int
-	Whole    int
+	Complete int
 	Attained int
-	// RefusedNotRun counts requests given up after refusals as not run.
+	// RefusedNotRun counts requests whose last attempt was refused as not run.
 	RefusedNotRun int
-	// NotRunAnswers counts every single refusal as not run, those tried again too.
+	// NotRunAnswers counts all attempts that were refused as not run.
 	NotRunAnswers  int
 	RefusedUnknown int
-	// BrokenOff counts streams that ended early with a reason.
+	// BrokenOff counts streams that ended early with a stated reason.
 	BrokenOff int
 	Lost      int
 	Mixed     int
@@ -73,19 +74,19 @@
 func NewTally(target config.Target) *Tally {
 	return &Tally{
 		target:  target,
-		first:   hdrhistogram.New(1, histogramMost, histogramDigits),
-		gaps:    hdrhistogram.New(1, histogramMost, histogramDigits),
+		first:   hdrhistogram.New(1, histogramMax, histogramDigits),
+		gaps:    hdrhistogram.New(1, histogramMax, histogramDigits),
 		notRun:  map[string]bool{},
 		reasons: map[string]int{},
 	}
 }
 
-// add notes one attempt.
+// add records the outcome of one attempt.
 func (t *Tally) add(id string, o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if o.kind != whole {
-		t.reasons[shorten(o.reason)]++
+	if o.kind != complete {
+		t.reasons[shortenReason(o.reason)]++
 	}
 	if o.kind == refusedNotRun {
 		t.counts.NotRunAnswers++
@@ -93,24 +94,24 @@
 	}
 }
 
-func shorten(reason string) string {
+func shortenReason(reason string) string {
 	if at := strings.Index(reason, `,"request"`); at >= 0 {
 		reason = reason[:at]
 	}
 	return reason[:min(len(reason), 200)]
 }
 
-// finish notes a request's last outcome.
+// finish records the outcome of a request's last attempt.
 func (t *Tally) finish(o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Requests++
 	switch o.kind {
-	case whole:
-		t.counts.Whole++
-		_ = t.first.RecordValue(min(o.first.Microseconds(), histogramMost))
+	case complete:
+		t.counts.Complete++
+		_ = t.first.RecordValue(min(o.first.Microseconds(), histogramMax))
 		if o.tokens > 1 {
-			_ = t.gaps.RecordValue(min((o.between / time.Duration(o.tokens-1)).Microseconds(), histogramMost))
+			_ = t.gaps.RecordValue(min((o.between / time.Duration(o.tokens-1)).Microseconds(), histogramMax))
 		}
 		if t.attained(o) {
 			t.counts.Attained++
@@ -128,8 +129,8 @@
 	}
 }
 
-// attained reports whether an answer met the target. An answer that is not
-// streamed has no first token; it may take the whole stream's time.
+// attained reports whether an answer met the latency target. An answer that is not streamed has no
+// first token; it may take as long as a whole stream.
 func (t *Tally) attained(o outcome) bool {
 	first, between := t.target.FirstToken.Std(), t.target.BetweenTokens.Std()
 	if o.unstreamed {
@@ -141,7 +142,7 @@
 	return o.tokens < 2 || o.between/time.Duration(o.tokens-1) <= between
 }
 
-// Result is an experiment's outcome.
+// Result is the result of an experiment.
 type Result struct {
 	Counts
 	AttainmentPerAccelerator float64
@@ -151,7 +152,7 @@
 	DoubledOnce              int
 	Breaches                 int
 	Late                     int
-	Silent                   int
+	Unreachable              int
 	FirstToken               [3]time.Duration
 	Between                  [3]time.Duration
 	Reasons                  []string
@@ -160,7 +161,7 @@
 func (t *Tally) result(all []Stats, emulators, accelerators int) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := Result{Counts: t.counts, Silent: emulators - len(all)}
+	r := Result{Counts: t.counts, Unreachable: emulators - len(all)}
 	if t.counts.Requests > 0 && accelerators > 0 {
 		r.AttainmentPerAccelerator = float64(t.counts.Attained) / float64(t.counts.Requests) / float64(accelerators)
 	}
@@ -203,12 +204,12 @@
 	return q
 }
 
-// Broken lists the promises that the run broke.
-func (r Result) Broken() []string {
-	var broken []string
+// Violations lists the checks that failed, with counts.
+func (r Result) Violations() []string {
+	var violations []string
 	check := func(count int, what string) {
 		if count > 0 {
-			broken = append(broken, fmt.Sprintf("%d %s", count, what))
+			violations = append(violations, fmt.Sprintf("%d %s", count, what))
 		}
 	}
 	check(r.Lost, "lost answers")
@@ -217,16 +218,16 @@
 	check(r.DoubledOnce, "not-to-be-repeated calls that ran twice")
 	check(r.Breaches, "memory overcommitments")
 	check(r.Late, "requests to a host that had been leaving for 3 s")
-	check(r.Silent, "emulators that could not be asked what they saw")
-	return broken
+	check(r.Unreachable, "emulators that could not be asked what they saw")
+	return violations
 }
 
-// Table returns the result for people.
+// Table formats the result as a table.
 func (r Result) Table() string {
 	var b strings.Builder
 	line := func(name string, value any) { fmt.Fprintf(&b, "%-44s %v\n", name, value) }
 	line("requests", r.Requests)
-	line("whole answers", r.Whole)
+	line("whole answers", r.Complete)
 	line("attained", fmt.Sprintf("%d (%.1f %%)", r.Attained, 100*float64(r.Attained)/float64(max(r.Requests, 1))))
 	line("attainment per accelerator", fmt.Sprintf("%.4f", r.AttainmentPerAccelerator))
 	line("moves (loads + unloads)", fmt.Sprintf("%d + %d", r.Loads, r.Unloads))
--- a/src/emulator/text.go
+++ b/src/emulator/text.go
@@ -8,23 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Word returns the n-th token that every emulator engine gives for a prompt, so
-// that the load tool can tell a whole, unmixed answer from any other.
-func Word(name, prompt string, n uint64) string {
+// Token returns the n-th token that every emulated engine generates for a prompt. As tokens depend
+// on the prompt, the load tool detects incomplete answers and answers to other requests.
+func Token(name, prompt string, n uint64) string {
 	hash := xxhash.Sum64String(name + "\x00" + prompt + "\x00" + strconv.FormatUint(n, 10))
 	return strconv.FormatUint(hash%46656, 36) + " "
 }
 
-// Answer returns the whole answer of so many tokens.
+// Answer returns the complete answer with a number of tokens.
 func Answer(name, prompt string, tokens int) string {
 	var text strings.Builder
 	for n := 1; n <= tokens; n++ {
-		text.WriteString(Word(name, prompt, uint64(n)))
+		text.WriteString(Token(name, prompt, uint64(n)))
 	}
 	return text.String()
 }
 
-// completionCall is a completion as the emulator engine reads it.
+// completionCall is a completion request as the emulated engine parses it.
 type completionCall struct {
 	Model     string        `json:"model"`
 	Prompt    string        `json:"prompt"`
@@ -37,7 +37,7 @@
 	Content string `json:"content"`
 }
 
-// defaultTokens is the answer's length where the call gives none.
+// defaultTokens is the length of an answer if the request sets none.
 const defaultTokens = 16
 
 func parseCall(body []byte) (completionCall, error) {
@@ -51,7 +51,7 @@
 	return call, nil
 }
 
-// streamChunk is a chunk of a stream in the usual interface.
+// streamChunk is a chunk of a completion stream in the OpenAI-compatible format.
 type streamChunk struct {
 	Object  string         `json:"object"`
 	Model   string         `json:"model"`
@@ -68,13 +68,13 @@
 	Content string `json:"content"`
 }
 
-func chunkOf(chat bool, name, word string) []byte {
-	part := streamChunk{Object: "text_completion", Model: name, Choices: []streamChoice{{Text: word}}}
+func encodeChunk(chat bool, name, word string) []byte {
+	chunk := streamChunk{Object: "text_completion", Model: name, Choices: []streamChoice{{Text: word}}}
 	if chat {
-		part.Object = "chat.completion.chunk"
-		part.Choices = []streamChoice{{Delta: &streamDelta{Content: word}}}
+		chunk.Object = "chat.completion.chunk"
+		chunk.Choices = []streamChoice{{Delta: &streamDelta{Content: word}}}
 	}
-	data, err := json.Marshal(part)
+	data, err := json.Marshal(chunk)
 	if err != nil {
 		return nil
 	}
--- a/src/testseed/testseed.go
+++ b/src/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed makes property tests draw the same cases at every run, so
-// that CI's verdict is the same each time; make soak lets the seed run free.
+// Package testseed gives property tests a fixed random seed, so that CI has the same result at every
+// run. `make soak` runs the tests with random seeds.
 package testseed
 
 import (
@@ -7,18 +7,17 @@
 	"os"
 )
 
-// fixed is the seed of CI's runs.
-const fixed = "20261202"
+const defaultSeed = "20261202"
 
-// EnvSoak lets seeds run free when it is set; rapid prints the seed of a failure.
+// EnvSoak is the environment variable that selects random seeds; rapid prints the seed of a failure.
 const EnvSoak = "MOORSPOOL_SOAK"
 
-// Fix sets rapid's flags; it is called from a test package's init.
+// Fix sets rapid's flags. It must be called from the init function of a test package.
 func Fix() {
 	if os.Getenv(EnvSoak) != "" {
 		return
 	}
-	for name, value := range map[string]string{"rapid.seed": fixed, "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{"rapid.seed": defaultSeed, "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
